--- a/hyssopswitch-app/src/main/java/org/hyssopswitch/app/baseline/FifoQueue.java
+++ b/hyssopswitch-app/src/main/java/org/hyssopswitch/app/baseline/FifoQueue.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public List<T> expire(long nowMillis) {
+    public List<T> removeDropped(long nowMillis) {
         List<T> expired = new ArrayList<>();
         queue.removeIf(w -> w.deadlineMillis() <= nowMillis && expired.add(w.item()));
         return expired;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
@@ -32,7 +32,7 @@
     }
 
     /** Begins to leave at the next tick. Further calls change nothing. */
-    public void begin() {
+    public void requestDrain() {
         requested = true;
     }
 
@@ -54,9 +54,9 @@
             announcement.run();
         }
         if (phase == DrainPhase.LEAVING) {
-            limits.handBack(nowMillis, out);
+            limits.releaseSlots(nowMillis, out);
             boolean timedOut = nowMillis - sinceMillis >= HAND_BACK_TIMEOUT_MILLIS;
-            if (limits.handedBack() || timedOut) {
+            if (limits.isReleased() || timedOut) {
                 phase = DrainPhase.DONE;
             }
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/AccountQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/AccountQueue.java
@@ -32,7 +32,7 @@
     }
 
     /** Waiting statements in relation to the weight; the largest is the account that exceeds most. */
-    double excess() {
+    double backlogPerWeight() {
         return entries.size() / weight;
     }
 
@@ -45,22 +45,22 @@
     }
 
     /** Adds a round's quantum and says whether a statement may be taken. */
-    boolean earn(double quantum) {
+    boolean addQuantum(double quantum) {
         deficit += quantum;
         return deficit >= 1;
     }
 
-    boolean affords() {
+    boolean canDequeue() {
         return deficit >= 1 && !entries.isEmpty();
     }
 
-    T take() {
+    T dequeue() {
         deficit -= 1;
         return entries.removeFirst().item();
     }
 
     /** Moves the statements whose deadline has passed to a list; returns the earliest deadline that remains. */
-    long expire(long nowMillis, List<T> expired) {
+    long removeExpired(long nowMillis, List<T> expired) {
         long earliest = Long.MAX_VALUE;
         for (Iterator<Entry<T>> i = entries.iterator(); i.hasNext(); ) {
             Entry<T> entry = i.next();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
@@ -78,11 +78,11 @@
         }
         observePoll(nowMillis);
         AccountQueue<T> queue = nextInTurn();
-        T item = queue.take();
+        T item = queue.dequeue();
         size--;
         if (queue.size() == 0) {
             deactivate(queue);
-        } else if (!queue.affords()) {
+        } else if (!queue.canDequeue()) {
             round.addLast(round.removeFirst());
         }
         return Optional.of(item);
@@ -90,7 +90,7 @@
 
     /** {@inheritDoc} Statements that were shed for lack of room are returned too. */
     @Override
-    public List<T> expire(long nowMillis) {
+    public List<T> removeDropped(long nowMillis) {
         dropExpired(nowMillis);
         List<T> result = List.copyOf(dropped);
         dropped.clear();
@@ -108,10 +108,10 @@
             return true;
         }
         AccountQueue<T> worst = queues.values().stream()
-                .max(Comparator.comparingDouble((AccountQueue<T> q) -> q.excess())
+                .max(Comparator.comparingDouble((AccountQueue<T> q) -> q.backlogPerWeight())
                         .thenComparing(AccountQueue::account))
                 .orElse(offering);
-        if (worst == offering || worst.excess() <= (offering.size() + 1) / offering.weight()) {
+        if (worst == offering || worst.backlogPerWeight() <= (offering.size() + 1) / offering.weight()) {
             return false;
         }
         dropped.add(worst.removeNewest());
@@ -125,8 +125,8 @@
     /** Finds the first account in turn that affords a statement, giving quanta on the way. */
     private AccountQueue<T> nextInTurn() {
         AccountQueue<T> head = round.peekFirst();
-        while (!head.affords()) {
-            if (head.earn(Math.max(MIN_QUANTUM, head.weight() / maxWeight))) {
+        while (!head.canDequeue()) {
+            if (head.addQuantum(Math.max(MIN_QUANTUM, head.weight() / maxWeight))) {
                 return head;
             }
             round.addLast(round.removeFirst());
@@ -161,7 +161,7 @@
         int before = dropped.size();
         earliestDeadlineMillis = Long.MAX_VALUE;
         for (AccountQueue<T> queue : List.copyOf(queues.values())) {
-            earliestDeadlineMillis = Math.min(earliestDeadlineMillis, queue.expire(nowMillis, dropped));
+            earliestDeadlineMillis = Math.min(earliestDeadlineMillis, queue.removeExpired(nowMillis, dropped));
             if (queue.size() == 0) {
                 deactivate(queue);
             }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/StatementQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/StatementQueue.java
@@ -37,7 +37,7 @@
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
-    List<T> expire(long nowMillis);
+    List<T> removeDropped(long nowMillis);
 
     /** The number of queued statements. */
     int size();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountSplit.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountSplit.java
@@ -33,10 +33,10 @@
     }
 
     /** The part of a data centre. */
-    Amount part(DataCentreId dataCentre) {
+    RateShare part(DataCentreId dataCentre) {
         if (!dataCentres.contains(dataCentre)) {
-            return Amount.NONE;
+            return RateShare.NONE;
         }
-        return new Amount(rate.perSecond(), rate.burst()).times(1.0 / dataCentres.size());
+        return new RateShare(rate.perSecond(), rate.burst()).times(1.0 / dataCentres.size());
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/Consumer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountUsage.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.core.identity.DataCentreId;
 
 /** The use that callers of this VM make of one client account, and the shares held for it by lending data centre. */
-final class Consumer {
+final class AccountUsage {
 
     private static final long PRESSURE_GAP_MILLIS = 100;
 
@@ -19,7 +19,7 @@
     private long pressedSinceMillis;
     private long refusedMillis = Long.MIN_VALUE / 2;
 
-    Consumer(ClientAccountId account, long nowMillis) {
+    AccountUsage(ClientAccountId account, long nowMillis) {
         this.account = account;
         this.meter = new DemandMeter(nowMillis);
         this.lastUsedMillis = nowMillis;
@@ -33,7 +33,7 @@
         return shares;
     }
 
-    HeldShare share(DataCentreId lender, long nowMillis) {
+    HeldShare findOrCreateShare(DataCentreId lender, long nowMillis) {
         return shares.computeIfAbsent(lender, l -> new HeldShare(nowMillis));
     }
 
@@ -43,12 +43,12 @@
                 return true;
             }
         }
-        return takeParts(nowMillis);
+        return tryTakeFractions(nowMillis);
     }
 
-    boolean exhausted(long nowMillis) {
+    boolean isExhausted(long nowMillis) {
         for (HeldShare share : shares.values()) {
-            if (share.exhausted(nowMillis)) {
+            if (share.isExhausted(nowMillis)) {
                 return true;
             }
         }
@@ -56,22 +56,22 @@
     }
 
     /** Counts an arriving statement. */
-    void count(long nowMillis) {
+    void recordArrival(long nowMillis) {
         lastUsedMillis = nowMillis;
         meter.count(nowMillis);
     }
 
     /** Notes that a statement was refused. */
-    void refused(long nowMillis) {
+    void recordRefusal(long nowMillis) {
         refusedMillis = nowMillis;
     }
 
-    long refusedAgeMillis(long nowMillis) {
+    long millisSinceRefusal(long nowMillis) {
         return nowMillis - refusedMillis;
     }
 
     /** Notes that a statement found no token. */
-    void lacked(long nowMillis) {
+    void recordShortage(long nowMillis) {
         if (nowMillis - pressedMillis > PRESSURE_GAP_MILLIS) {
             pressedSinceMillis = nowMillis;
         }
@@ -81,20 +81,20 @@
     }
 
     /** Milliseconds for which statements have been finding no token. */
-    long pressedForMillis(long nowMillis) {
+    long shortageDurationMillis(long nowMillis) {
         return nowMillis - pressedSinceMillis;
     }
 
     /** Statements that found no token since the last request. */
-    int waits() {
+    int shortageCount() {
         return waits;
     }
 
-    void clearWaits() {
+    void clearShortageCount() {
         waits = 0;
     }
 
-    long pressedAgeMillis(long nowMillis) {
+    long millisSinceShortage(long nowMillis) {
         return nowMillis - pressedMillis;
     }
 
@@ -122,15 +122,15 @@
         return rate;
     }
 
-    long untilTokenMillis(long nowMillis, long maxMillis) {
+    long millisUntilToken(long nowMillis, long maxMillis) {
         return shares.values().stream()
-                .mapToLong(s -> s.untilTokenMillis(nowMillis, maxMillis))
+                .mapToLong(s -> s.millisUntilToken(nowMillis, maxMillis))
                 .min()
                 .orElse(maxMillis);
     }
 
     /** Makes up a whole token of parts of several shares. */
-    private boolean takeParts(long nowMillis) {
+    private boolean tryTakeFractions(long nowMillis) {
         if (tokens(nowMillis) < 1) {
             return false;
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/EvenSplitRateLimiter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/EvenSplitRateLimiter.java
@@ -44,7 +44,7 @@
         if (bucket.tryTake(nowMillis)) {
             return Option.none();
         }
-        return Option.some(new Refusal.RateExceeded(account, bucket.untilTokenMillis(nowMillis, MAX_RETRY_MILLIS)));
+        return Option.some(new Refusal.RateExceeded(account, bucket.millisUntilToken(nowMillis, MAX_RETRY_MILLIS)));
     }
 
     @Override
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/HeldShare.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/HeldShare.java
@@ -32,55 +32,55 @@
 
     /** Takes up to a number of tokens while the lease lasts. */
     double withdraw(double wanted, long nowMillis) {
-        return valid(nowMillis) ? bucket.withdraw(wanted, nowMillis) : 0;
+        return isValid(nowMillis) ? bucket.withdraw(wanted, nowMillis) : 0;
     }
 
     /** Takes a token while the lease lasts. */
     boolean tryTake(long nowMillis) {
-        return valid(nowMillis) && bucket.tryTake(nowMillis);
+        return isValid(nowMillis) && bucket.tryTake(nowMillis);
     }
 
-    boolean valid(long nowMillis) {
+    boolean isValid(long nowMillis) {
         return nowMillis < endMillis && bucket.burst() > 0;
     }
 
     /** Whether tokens that were handed over without a rate have been used, so that their burst can be given back. */
-    boolean exhausted(long nowMillis) {
+    boolean isExhausted(long nowMillis) {
         return bucket.ratePerSecond() <= 0 && bucket.burst() - bucket.tokens(nowMillis) >= RELEASED_TOKENS;
     }
 
     /** What this VM may use now. */
-    Amount amount(long nowMillis) {
-        return nowMillis < endMillis ? new Amount(bucket.ratePerSecond(), bucket.burst()) : Amount.NONE;
+    RateShare currentShare(long nowMillis) {
+        return nowMillis < endMillis ? new RateShare(bucket.ratePerSecond(), bucket.burst()) : RateShare.NONE;
     }
 
     double rate(long nowMillis) {
-        return valid(nowMillis) ? bucket.ratePerSecond() : 0;
+        return isValid(nowMillis) ? bucket.ratePerSecond() : 0;
     }
 
     double tokens(long nowMillis) {
-        return valid(nowMillis) ? bucket.tokens(nowMillis) : 0;
+        return isValid(nowMillis) ? bucket.tokens(nowMillis) : 0;
     }
 
-    long untilTokenMillis(long nowMillis, long maxMillis) {
-        return valid(nowMillis) ? bucket.untilTokenMillis(nowMillis, maxMillis) : maxMillis;
+    long millisUntilToken(long nowMillis, long maxMillis) {
+        return isValid(nowMillis) ? bucket.millisUntilToken(nowMillis, maxMillis) : maxMillis;
     }
 
-    boolean renewalDue(long nowMillis) {
+    boolean isRenewalDue(long nowMillis) {
         return nowMillis >= renewMillis;
     }
 
     /** Milliseconds since the last request. */
-    long requestAgeMillis(long nowMillis) {
+    long millisSinceRequest(long nowMillis) {
         return nowMillis - requestedMillis;
     }
 
     /** Requests since the last answer. */
-    int unanswered() {
+    int unansweredRequests() {
         return unanswered;
     }
 
-    boolean held() {
+    boolean hasGrant() {
         return appliedGrant > 0;
     }
 
@@ -88,16 +88,16 @@
      * Prepares the report to a lender. From now on only this lender can change the share, so that a new owner may take
      * over what is reported.
      */
-    ShareDemand report(ClientAccountId account, VmAddress to, Need need, long nowMillis) {
+    ShareReport prepareReport(ClientAccountId account, VmAddress to, Need need, long nowMillis) {
         lender = Optional.of(to);
         requestedMillis = nowMillis;
-        dropIfEnded(nowMillis);
-        bucket.shrinkIfStatic(nowMillis);
+        clearIfExpired(nowMillis);
+        bucket.releaseUsedBurst(nowMillis);
         double reserved = reserve(need.tokens(), nowMillis);
         unanswered++;
         double returned = returnable;
         returnable = 0;
-        return new ShareDemand(
+        return new ShareReport(
                 account,
                 epoch,
                 appliedGrant,
@@ -110,12 +110,12 @@
     }
 
     /** Applies a grant that answers a request; grants that came late or from another VM are ignored. */
-    boolean apply(VmAddress from, ShareLease lease, long requestMillis, long nowMillis) {
+    boolean applyGrant(VmAddress from, ShareLease lease, long requestMillis, long nowMillis) {
         if (!accepts(from, lease)) {
             return false;
         }
-        dropIfEnded(nowMillis);
-        bucket.release(nowMillis);
+        clearIfExpired(nowMillis);
+        bucket.endReservation(nowMillis);
         reservedMillis = Long.MIN_VALUE / 2;
         unanswered = 0;
         resize(lease, nowMillis);
@@ -127,17 +127,17 @@
     }
 
     /** Lowers the share; its lease ends as before. */
-    boolean lower(VmAddress from, ShareLease cut, long nowMillis) {
+    boolean applyRecall(VmAddress from, ShareLease cut, long nowMillis) {
         if (epoch != cut.epoch() || !accepts(from, cut)) {
             return false;
         }
-        dropIfEnded(nowMillis);
+        clearIfExpired(nowMillis);
         resize(cut, nowMillis);
         return true;
     }
 
     /** Gives the whole share up; its tokens go with the next report. */
-    void giveUp(long nowMillis) {
+    void surrender(long nowMillis) {
         returnable += bucket.tokens(nowMillis);
         bucket.resize(0, 0, nowMillis);
     }
@@ -152,7 +152,7 @@
     }
 
     /** A share whose lease has ended may be lent to others, and its tokens with it. */
-    private void dropIfEnded(long nowMillis) {
+    private void clearIfExpired(long nowMillis) {
         if (nowMillis >= endMillis) {
             bucket.resize(0, 0, nowMillis);
             returnable = 0;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/Loan.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LentShare.java
@@ -9,7 +9,7 @@
  *
  * <p>A grant counts until the holder confirms a later one or until the lease has ended by the lender's own clock.
  */
-final class Loan {
+final class LentShare {
 
     private static final int MAX_OUTSTANDING = 6;
 
@@ -20,7 +20,7 @@
     private long durationMillis;
     private long recalledMillis = Long.MIN_VALUE / 2;
 
-    Loan(VmAddress holder) {
+    LentShare(VmAddress holder) {
         this.holder = holder;
     }
 
@@ -29,11 +29,11 @@
     }
 
     /** Tokens that the holder wanted and did not get. */
-    double unmet() {
+    double unmetTokens() {
         return unmet;
     }
 
-    void unmet(double tokens) {
+    void setUnmetTokens(double tokens) {
         unmet = tokens;
     }
 
@@ -41,18 +41,18 @@
         return demand;
     }
 
-    void demand(double statementsPerSecond) {
+    void setDemand(double statementsPerSecond) {
         demand = statementsPerSecond;
     }
 
-    long recalledMillis() {
+    long lastRecallMillis() {
         return recalledMillis;
     }
 
     /** The most that the holder may be using. */
-    Amount committed(long nowMillis) {
+    RateShare committed(long nowMillis) {
         outstanding.removeIf(o -> o.endMillis() <= nowMillis);
-        Amount most = Amount.NONE;
+        RateShare most = RateShare.NONE;
         for (Outstanding one : outstanding) {
             most = most.max(one.amount());
         }
@@ -60,13 +60,13 @@
     }
 
     /** The amount of the latest grant. */
-    Amount latest(long nowMillis) {
+    RateShare latestGranted(long nowMillis) {
         outstanding.removeIf(o -> o.endMillis() <= nowMillis);
-        return outstanding.isEmpty() ? Amount.NONE : outstanding.peekLast().amount();
+        return outstanding.isEmpty() ? RateShare.NONE : outstanding.peekLast().amount();
     }
 
     /** Records what the holder held when it had applied a grant; earlier grants will not be used any more. */
-    void confirm(long appliedGrant, Amount held, long nowMillis) {
+    void confirmGrant(long appliedGrant, RateShare held, long nowMillis) {
         long end = nowMillis;
         while (!outstanding.isEmpty() && outstanding.peekFirst().grant() <= appliedGrant) {
             end = Math.max(end, outstanding.removeFirst().endMillis());
@@ -77,13 +77,13 @@
     }
 
     /** Records a grant before it is sent. */
-    void grant(long grant, Amount amount, long duration, long endMillis) {
+    void recordGrant(long grant, RateShare amount, long duration, long endMillis) {
         durationMillis = duration;
         add(new Outstanding(grant, amount, endMillis));
     }
 
     /** Records a recall before it is sent; the lease ends no later than before. */
-    void recall(long grant, Amount amount, long nowMillis) {
+    void recordRecall(long grant, RateShare amount, long nowMillis) {
         long end = outstanding.stream().mapToLong(Outstanding::endMillis).max().orElse(nowMillis);
         durationMillis = 0;
         recalledMillis = nowMillis;
@@ -91,8 +91,8 @@
     }
 
     /** The duration of the next lease, which doubles while the size stays about the same. */
-    long nextDurationMillis(Amount next, LimitSettings settings, long nowMillis) {
-        Amount last = latest(nowMillis);
+    long nextDurationMillis(RateShare next, LimitSettings settings, long nowMillis) {
+        RateShare last = latestGranted(nowMillis);
         boolean stable = Math.abs(next.rate() - last.rate()) <= 0.25 * last.rate();
         long doubled = Math.min(settings.maxLeaseMillis(), 2 * durationMillis);
         return stable ? Math.max(settings.minLeaseMillis(), doubled) : settings.minLeaseMillis();
@@ -107,7 +107,7 @@
         outstanding.addLast(next);
     }
 
-    private record Outstanding(long grant, Amount amount, long endMillis) {
+    private record Outstanding(long grant, RateShare amount, long endMillis) {
 
         Outstanding merge(Outstanding later) {
             return new Outstanding(later.grant, amount.max(later.amount), Math.max(endMillis, later.endMillis));
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
@@ -83,46 +83,46 @@
         Set<ClientAccountId> moved = splits.apply(configuration);
         Set<Integer> movedSlots = new HashSet<>();
         moved.forEach(a -> movedSlots.add(SlotUtils.slotOf(a, settings.slots())));
-        locator.clear();
+        locator.clearCandidates();
         ownership.configure(former, movedSlots);
         lender.configure(moved, nowMillis);
     }
 
     /**
      * Gives up all slots, and returns the shares that callers of this VM no longer use. To be called again until
-     * {@link #handedBack}.
+     * {@link #isReleased}.
      *
      * @param nowMillis milliseconds of the monotonic clock
      * @param out takes the actions to perform
      */
-    public void handBack(long nowMillis, Outbox out) {
+    public void releaseSlots(long nowMillis, Outbox out) {
         holder.returnUnused(nowMillis, loopBack(nowMillis, out));
-        ownership.handBack();
+        ownership.releaseAll();
     }
 
     /** Whether no share is held and the platform's records no longer name this VM as the owner of a slot. */
-    public boolean handedBack() {
-        return ownership.handedBack() && holder.size() == 0;
+    public boolean isReleased() {
+        return ownership.isReleased() && holder.accountCount() == 0;
     }
 
     /** The slots that this VM owns. */
     public long ownedSlots() {
-        return ownership.owned();
+        return ownership.ownedSlots();
     }
 
     /** What this VM holds of a client account's rate and burst. */
-    Amount held(ClientAccountId account, long nowMillis) {
-        return holder.held(account, nowMillis);
+    RateShare heldShare(ClientAccountId account, long nowMillis) {
+        return holder.heldShare(account, nowMillis);
     }
 
     /** The client accounts that this VM lends from. */
     public int lentAccounts() {
-        return lender.size();
+        return lender.accountCount();
     }
 
     /** The client accounts that callers of this VM use. */
     public int heldAccounts() {
-        return holder.size();
+        return holder.accountCount();
     }
 
     /** Delivers messages of this VM to itself at once, since it may hold what it lends. */
@@ -146,7 +146,7 @@
         } else if (message instanceof SlotRedirect redirect) {
             holder.handle(redirect);
         } else if (message instanceof SettleRequest settle && settle.slot() < settings.slots()) {
-            ownership.wantSettled(settle.slot(), settle.version());
+            ownership.requestSettlement(settle.slot(), settle.version());
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareHolder.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareHolder.java
@@ -36,8 +36,8 @@
     private final LimitSettings settings;
     private final SplitTable splits;
     private final SlotLocator locator;
-    private final Map<ClientAccountId, Consumer> consumers = new HashMap<>();
-    private final Set<Consumer> pressed = new LinkedHashSet<>();
+    private final Map<ClientAccountId, AccountUsage> consumers = new HashMap<>();
+    private final Set<AccountUsage> pressed = new LinkedHashSet<>();
     private final Map<Long, Sent> sent = new LinkedHashMap<>();
     private long sequence;
     private long nextScanMillis;
@@ -51,9 +51,9 @@
 
     @Override
     public Option<Refusal> tryAcquire(ClientAccountId account, long nowMillis) {
-        Optional<Consumer> consumer = consumer(account, nowMillis);
-        consumer.ifPresent(c -> c.count(nowMillis));
-        if (consumer.filter(c -> take(c, nowMillis)).isPresent()) {
+        Optional<AccountUsage> consumer = findOrCreateUsage(account, nowMillis);
+        consumer.ifPresent(c -> c.recordArrival(nowMillis));
+        if (consumer.filter(c -> tryTake(c, nowMillis)).isPresent()) {
             return Option.none();
         }
         return Option.some(refuse(account, consumer, nowMillis));
@@ -61,33 +61,35 @@
 
     @Override
     public Admission admit(ClientAccountId account, long firstAskedMillis, long nowMillis) {
-        Optional<Consumer> consumer = consumer(account, nowMillis);
+        Optional<AccountUsage> consumer = findOrCreateUsage(account, nowMillis);
         if (nowMillis == firstAskedMillis) {
-            consumer.ifPresent(c -> c.count(nowMillis));
+            consumer.ifPresent(c -> c.recordArrival(nowMillis));
         }
-        if (consumer.filter(c -> take(c, nowMillis)).isPresent()) {
+        if (consumer.filter(c -> tryTake(c, nowMillis)).isPresent()) {
             return new Admission.Admitted();
         }
         long end = firstAskedMillis + settings.admissionWaitMillis();
-        if (consumer.isEmpty() || nowMillis >= end || saturated(consumer.get(), nowMillis)) {
+        if (consumer.isEmpty() || nowMillis >= end || isSaturated(consumer.get(), nowMillis)) {
             return new Admission.Refused(refuse(account, consumer, nowMillis));
         }
-        press(consumer.get(), nowMillis);
+        recordShortage(consumer.get(), nowMillis);
         return new Admission.Wait(Math.min(end, nowMillis + settings.pressureIntervalMillis()));
     }
 
     /** Client accounts in use on this VM. */
-    int size() {
+    int accountCount() {
         return consumers.size();
     }
 
     /** What this VM holds of a client account's rate and burst. */
-    Amount held(ClientAccountId account, long nowMillis) {
-        Consumer consumer = consumers.get(account);
+    RateShare heldShare(ClientAccountId account, long nowMillis) {
+        AccountUsage consumer = consumers.get(account);
         if (consumer == null) {
-            return Amount.NONE;
+            return RateShare.NONE;
         }
-        return consumer.shares().values().stream().map(s -> s.amount(nowMillis)).reduce(Amount.NONE, Amount::plus);
+        return consumer.shares().values().stream()
+                .map(s -> s.currentShare(nowMillis))
+                .reduce(RateShare.NONE, RateShare::plus);
     }
 
     void tick(long nowMillis, Outbox out) {
@@ -95,11 +97,11 @@
         if (nowMillis >= nextScanMillis) {
             nextScanMillis = nowMillis + SCAN_INTERVAL_MILLIS;
             sent.values().removeIf(s -> nowMillis - s.atMillis() > ANSWER_MILLIS);
-            pressed.removeIf(c -> c.pressedAgeMillis(nowMillis) > ANSWER_MILLIS && !c.exhausted(nowMillis));
-            consumers.values().removeIf(c -> scan(c, batches, nowMillis));
+            pressed.removeIf(c -> c.millisSinceShortage(nowMillis) > ANSWER_MILLIS && !c.isExhausted(nowMillis));
+            consumers.values().removeIf(c -> maintainAccount(c, batches, nowMillis));
         }
-        for (Consumer consumer : pressed) {
-            request(consumer, batches, nowMillis);
+        for (AccountUsage consumer : pressed) {
+            requestMore(consumer, batches, nowMillis);
         }
         batches.send(nowMillis, out);
     }
@@ -110,10 +112,11 @@
             return;
         }
         for (ShareLease lease : grant.leases()) {
-            Consumer consumer = consumers.get(lease.account());
+            AccountUsage consumer = consumers.get(lease.account());
             if (consumer != null) {
-                consumer.share(grant.lender(), nowMillis).apply(from, lease, request.atMillis(), nowMillis);
-                locator.learn(grant.lender(), slotOf(lease.account()), from);
+                consumer.findOrCreateShare(grant.lender(), nowMillis)
+                        .applyGrant(from, lease, request.atMillis(), nowMillis);
+                locator.recordOwner(grant.lender(), slotOf(lease.account()), from);
             }
         }
     }
@@ -121,59 +124,65 @@
     void handle(VmAddress from, ShareRecall recall, long nowMillis, Outbox out) {
         Batches batches = new Batches();
         for (ShareLease cut : recall.cuts()) {
-            Consumer consumer = consumers.get(cut.account());
-            if (consumer != null && consumer.share(recall.lender(), nowMillis).lower(from, cut, nowMillis)) {
-                report(consumer, recall.lender(), from, batches, nowMillis);
+            AccountUsage consumer = consumers.get(cut.account());
+            if (consumer != null
+                    && consumer.findOrCreateShare(recall.lender(), nowMillis).applyRecall(from, cut, nowMillis)) {
+                addReport(consumer, recall.lender(), from, batches, nowMillis);
             }
         }
         batches.send(nowMillis, out);
     }
 
     void handle(SlotRedirect redirect) {
-        locator.learn(redirect.lender(), redirect.slot(), redirect.owner());
+        locator.recordOwner(redirect.lender(), redirect.slot(), redirect.owner());
     }
 
     /** Returns the shares of client accounts without a statement of late. */
     void returnUnused(long nowMillis, Outbox out) {
         Batches batches = new Batches();
-        consumers.values().removeIf(c -> c.idleMillis(nowMillis) >= UNUSED_MILLIS && returned(c, batches, nowMillis));
+        consumers
+                .values()
+                .removeIf(c -> c.idleMillis(nowMillis) >= UNUSED_MILLIS && returnShares(c, batches, nowMillis));
         batches.send(nowMillis, out);
     }
 
     /** Looks after one client account; true when it is idle and its shares have been returned. */
-    private boolean scan(Consumer consumer, Batches batches, long nowMillis) {
+    private boolean maintainAccount(AccountUsage consumer, Batches batches, long nowMillis) {
         if (consumer.idleMillis(nowMillis) >= settings.idleMillis()) {
-            return returned(consumer, batches, nowMillis);
+            return returnShares(consumer, batches, nowMillis);
         }
         if (consumer.demand(nowMillis) > consumer.heldRate(nowMillis)) {
-            request(consumer, batches, nowMillis);
+            requestMore(consumer, batches, nowMillis);
         }
         consumer.shares().forEach((lender, share) -> {
-            if (share.held() && share.renewalDue(nowMillis) && share.requestAgeMillis(nowMillis) >= ANSWER_MILLIS) {
-                report(consumer, lender, batches, nowMillis);
+            if (share.hasGrant()
+                    && share.isRenewalDue(nowMillis)
+                    && share.millisSinceRequest(nowMillis) >= ANSWER_MILLIS) {
+                addReport(consumer, lender, batches, nowMillis);
             }
         });
         return false;
     }
 
     /** Asks for more: first the own data centre and, while its share is not enough, one after the other of the rest. */
-    private void request(Consumer consumer, Batches batches, long nowMillis) {
-        long interval = pressureInterval(consumer, nowMillis);
+    private void requestMore(AccountUsage consumer, Batches batches, long nowMillis) {
+        long interval = requestIntervalMillis(consumer, nowMillis);
         long step = 0;
-        for (DataCentreId lender : lenders(consumer.account())) {
-            HeldShare share = consumer.share(lender, nowMillis);
-            boolean release = share.exhausted(nowMillis)
-                    && share.requestAgeMillis(nowMillis) >= settings.pressureIntervalMillis();
-            boolean ask = share.requestAgeMillis(nowMillis) >= interval && consumer.pressedForMillis(nowMillis) >= step;
+        for (DataCentreId lender : lendersInOrder(consumer.account())) {
+            HeldShare share = consumer.findOrCreateShare(lender, nowMillis);
+            boolean release = share.isExhausted(nowMillis)
+                    && share.millisSinceRequest(nowMillis) >= settings.pressureIntervalMillis();
+            boolean ask = share.millisSinceRequest(nowMillis) >= interval
+                    && consumer.shortageDurationMillis(nowMillis) >= step;
             if (release || ask) {
-                report(consumer, lender, batches, nowMillis);
+                addReport(consumer, lender, batches, nowMillis);
             }
             step += ESCALATION_MILLIS;
         }
-        consumer.clearWaits();
+        consumer.clearShortageCount();
     }
 
-    private List<DataCentreId> lenders(ClientAccountId account) {
+    private List<DataCentreId> lendersInOrder(ClientAccountId account) {
         String own = view.self().dataCentre().value();
         List<DataCentreId> lenders = new ArrayList<>(
                 splits.find(account).map(AccountSplit::dataCentres).orElse(List.of()));
@@ -183,89 +192,94 @@
     }
 
     /** Asks often while statements wait, and seldom when the account as a whole is beyond its rate. */
-    private long pressureInterval(Consumer consumer, long nowMillis) {
-        boolean over = consumer.refusedAgeMillis(nowMillis) < MAX_RETRY_MILLIS
+    private long requestIntervalMillis(AccountUsage consumer, long nowMillis) {
+        boolean over = consumer.millisSinceRefusal(nowMillis) < MAX_RETRY_MILLIS
                 && consumer.demand(nowMillis) > SATURATED_ABOVE * consumer.heldRate(nowMillis);
-        return over || consumer.waits() == 0 ? MAX_PRESSURE_INTERVAL_MILLIS : settings.pressureIntervalMillis();
+        return over || consumer.shortageCount() == 0 ? MAX_PRESSURE_INTERVAL_MILLIS : settings.pressureIntervalMillis();
     }
 
-    private void report(Consumer consumer, DataCentreId lender, Batches batches, long nowMillis) {
+    private void addReport(AccountUsage consumer, DataCentreId lender, Batches batches, long nowMillis) {
         int slot = slotOf(consumer.account());
-        if (consumer.share(lender, nowMillis).unanswered() > MAX_UNANSWERED) {
-            locator.forget(lender, slot);
+        if (consumer.findOrCreateShare(lender, nowMillis).unansweredRequests() > MAX_UNANSWERED) {
+            locator.forgetOwner(lender, slot);
         }
-        locator.find(lender, slot).ifPresent(to -> report(consumer, lender, to, batches, nowMillis));
+        locator.find(lender, slot).ifPresent(to -> addReport(consumer, lender, to, batches, nowMillis));
     }
 
-    private void report(Consumer consumer, DataCentreId lender, VmAddress to, Batches batches, long nowMillis) {
-        HeldShare share = consumer.share(lender, nowMillis);
+    private void addReport(AccountUsage consumer, DataCentreId lender, VmAddress to, Batches batches, long nowMillis) {
+        HeldShare share = consumer.findOrCreateShare(lender, nowMillis);
         double demand = consumer.demand(nowMillis);
         double others = consumer.heldRate(nowMillis) - share.rate(nowMillis);
         boolean own = lender.equals(view.self().dataCentre());
         double perSecond = own ? demand : Math.max(0, demand - others);
         double ahead = share.rate(nowMillis) > 0 ? demand * LOOKAHEAD_SECONDS : 0;
-        double tokens = Math.max(0, consumer.waits() + ahead - consumer.tokens(nowMillis));
-        ShareDemand report = share.report(
-                consumer.account(), to, new HeldShare.Need(Math.max(perSecond, consumer.waits()), tokens), nowMillis);
+        double tokens = Math.max(0, consumer.shortageCount() + ahead - consumer.tokens(nowMillis));
+        ShareReport report = share.prepareReport(
+                consumer.account(),
+                to,
+                new HeldShare.Need(Math.max(perSecond, consumer.shortageCount()), tokens),
+                nowMillis);
         batches.add(to, lender, report);
     }
 
-    private boolean returned(Consumer consumer, Batches batches, long nowMillis) {
+    private boolean returnShares(AccountUsage consumer, Batches batches, long nowMillis) {
         pressed.remove(consumer);
-        giveUp(consumer, batches, nowMillis);
+        surrenderShares(consumer, batches, nowMillis);
         return true;
     }
 
-    private void giveUp(Consumer consumer, Batches batches, long nowMillis) {
+    private void surrenderShares(AccountUsage consumer, Batches batches, long nowMillis) {
         consumer.shares().forEach((lender, share) -> {
-            if (share.valid(nowMillis)) {
-                share.giveUp(nowMillis);
+            if (share.isValid(nowMillis)) {
+                share.surrender(nowMillis);
                 locator.find(lender, slotOf(consumer.account()))
                         .ifPresent(to -> batches.add(
-                                to, lender, share.report(consumer.account(), to, new HeldShare.Need(0, 0), nowMillis)));
+                                to,
+                                lender,
+                                share.prepareReport(consumer.account(), to, new HeldShare.Need(0, 0), nowMillis)));
             }
         });
     }
 
-    private boolean take(Consumer consumer, long nowMillis) {
+    private boolean tryTake(AccountUsage consumer, long nowMillis) {
         boolean taken = consumer.tryTake(nowMillis);
-        if (taken && consumer.exhausted(nowMillis)) {
+        if (taken && consumer.isExhausted(nowMillis)) {
             pressed.add(consumer);
         }
         return taken;
     }
 
-    private Optional<Consumer> consumer(ClientAccountId account, long nowMillis) {
-        Consumer known = consumers.get(account);
+    private Optional<AccountUsage> findOrCreateUsage(ClientAccountId account, long nowMillis) {
+        AccountUsage known = consumers.get(account);
         if (known != null) {
             return Optional.of(known);
         }
         if (splits.find(account).isEmpty()) {
             return Optional.empty();
         }
-        Consumer consumer = new Consumer(account, nowMillis);
+        AccountUsage consumer = new AccountUsage(account, nowMillis);
         consumers.put(account, consumer);
         return Optional.of(consumer);
     }
 
-    private void press(Consumer consumer, long nowMillis) {
-        consumer.lacked(nowMillis);
+    private void recordShortage(AccountUsage consumer, long nowMillis) {
+        consumer.recordShortage(nowMillis);
         pressed.add(consumer);
     }
 
-    private boolean saturated(Consumer consumer, long nowMillis) {
+    private boolean isSaturated(AccountUsage consumer, long nowMillis) {
         double held = consumer.heldRate(nowMillis);
         return held > 0
                 && consumer.demand(nowMillis) > SATURATED_ABOVE * held
-                && consumer.refusedAgeMillis(nowMillis) < MAX_RETRY_MILLIS;
+                && consumer.millisSinceRefusal(nowMillis) < MAX_RETRY_MILLIS;
     }
 
-    private Refusal refuse(ClientAccountId account, Optional<Consumer> consumer, long nowMillis) {
+    private Refusal refuse(ClientAccountId account, Optional<AccountUsage> consumer, long nowMillis) {
         consumer.ifPresent(c -> {
-            c.refused(nowMillis);
-            press(c, nowMillis);
+            c.recordRefusal(nowMillis);
+            recordShortage(c, nowMillis);
         });
-        long retry = consumer.map(c -> c.untilTokenMillis(nowMillis, MAX_RETRY_MILLIS))
+        long retry = consumer.map(c -> c.millisUntilToken(nowMillis, MAX_RETRY_MILLIS))
                 .orElse(MAX_RETRY_MILLIS);
         return new Refusal.RateExceeded(account, retry);
     }
@@ -281,9 +295,9 @@
     /** Collects reports into one message for each lender. */
     private final class Batches {
 
-        private final Map<Target, List<ShareDemand>> reports = new LinkedHashMap<>();
+        private final Map<Target, List<ShareReport>> reports = new LinkedHashMap<>();
 
-        void add(VmAddress to, DataCentreId lender, ShareDemand report) {
+        void add(VmAddress to, DataCentreId lender, ShareReport report) {
             reports.computeIfAbsent(new Target(to, lender), t -> new ArrayList<>())
                     .add(report);
         }
@@ -291,7 +305,7 @@
         void send(long nowMillis, Outbox out) {
             reports.forEach((target, list) -> {
                 for (int i = 0; i < list.size(); i += settings.maxItems()) {
-                    List<ShareDemand> part = list.subList(i, Math.min(list.size(), i + settings.maxItems()));
+                    List<ShareReport> part = list.subList(i, Math.min(list.size(), i + settings.maxItems()));
                     sequence++;
                     sent.put(sequence, new Sent(nowMillis));
                     out.add(new Action.SendMessage(target.to(), new ShareRequest(sequence, target.lender(), part)));
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLender.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLender.java
@@ -25,7 +25,7 @@
     private final SplitTable splits;
     private final SlotOwnership ownership;
     private final SlotLocator locator;
-    private final Map<ClientAccountId, LenderAccount> accounts = new HashMap<>();
+    private final Map<ClientAccountId, AccountLedger> accounts = new HashMap<>();
     private final Map<VmId, Sender> senders = new HashMap<>();
     private long configuredMillis;
     private long grants;
@@ -45,15 +45,15 @@
     }
 
     /** Client accounts with a ledger. */
-    int size() {
+    int accountCount() {
         return accounts.size();
     }
 
     void configure(Set<ClientAccountId> moved, long nowMillis) {
         configuredMillis = nowMillis;
-        for (LenderAccount account : accounts.values()) {
+        for (AccountLedger account : accounts.values()) {
             Optional<AccountSplit> split = splits.find(account.account());
-            account.split(part(split), account.grown() && !moved.contains(account.account()), nowMillis);
+            account.updatePart(partOf(split), account.isGrown() && !moved.contains(account.account()), nowMillis);
         }
     }
 
@@ -62,10 +62,10 @@
             return;
         }
         nextSweepMillis = nowMillis + SWEEP_INTERVAL_MILLIS;
-        accounts.values().removeIf(a -> !ownership.owns(slotOf(a)) || a.idle(nowMillis));
+        accounts.values().removeIf(a -> !ownership.owns(slotOf(a)) || a.isIdle(nowMillis));
         Map<VmAddress, List<ShareLease>> cuts = new LinkedHashMap<>();
-        for (LenderAccount account : accounts.values()) {
-            account.dropHolders(h -> view.isConfirmedGone(h.vm(), h.incarnation()), nowMillis);
+        for (AccountLedger account : accounts.values()) {
+            account.removeHolders(h -> view.isConfirmedGone(h.vm(), h.incarnation()), nowMillis);
             growIfAllowed(account, nowMillis);
             collectRecalls(account, nowMillis, cuts);
         }
@@ -73,9 +73,9 @@
     }
 
     /** Whether all shares of a slot are within the splits in force. */
-    boolean settled(int slot, long nowMillis) {
+    boolean isSettled(int slot, long nowMillis) {
         return nowMillis >= ownership.adoptUntilMillis(slot)
-                && accounts.values().stream().filter(a -> slotOf(a) == slot).allMatch(a -> a.settled(nowMillis));
+                && accounts.values().stream().filter(a -> slotOf(a) == slot).allMatch(a -> a.isSettled(nowMillis));
     }
 
     void handle(VmAddress from, ShareRequest request, long nowMillis, Outbox out) {
@@ -84,12 +84,12 @@
         }
         List<ShareLease> leases = new ArrayList<>();
         Map<VmAddress, List<ShareLease>> cuts = new LinkedHashMap<>();
-        for (ShareDemand demand : request.demands()) {
+        for (ShareReport demand : request.demands()) {
             int slot = SlotUtils.slotOf(demand.account(), settings.slots());
             if (!ownership.owns(slot)) {
                 redirect(from, slot, nowMillis, out);
             } else if (splits.version() >= ownership.requiredVersion(slot)) {
-                LenderAccount account = accountOf(demand.account(), slot, nowMillis);
+                AccountLedger account = findOrCreateLedger(demand.account(), slot, nowMillis);
                 leases.add(account.lend(from, demand, nowMillis));
                 collectRecalls(account, nowMillis, cuts);
             }
@@ -113,29 +113,29 @@
     }
 
     private void redirect(VmAddress from, int slot, long nowMillis, Outbox out) {
-        ownership.asked(slot, nowMillis);
+        ownership.recordMisdirectedRequest(slot, nowMillis);
         Optional<VmAddress> owner = ownership.knownOwner(slot).or(() -> locator.candidate(dataCentre(), slot));
         owner.filter(o -> !o.vm().equals(view.self().vm()))
                 .ifPresent(o -> out.add(new Action.SendMessage(from, new SlotRedirect(dataCentre(), slot, o))));
     }
 
-    private LenderAccount accountOf(ClientAccountId id, int slot, long nowMillis) {
-        LenderAccount account = accounts.get(id);
+    private AccountLedger findOrCreateLedger(ClientAccountId id, int slot, long nowMillis) {
+        AccountLedger account = accounts.get(id);
         if (account == null) {
             long adoptUntil = ownership.adoptUntilMillis(slot);
-            account = new LenderAccount(id, ownership.epoch(slot), settings, () -> ++grants, adoptUntil, nowMillis);
+            account = new AccountLedger(id, ownership.epoch(slot), settings, () -> ++grants, adoptUntil, nowMillis);
             Optional<AccountSplit> split = splits.find(id);
             boolean grown = split.map(AccountSplit::version).orElse(0L) <= ownership.grownVersion(slot);
-            account.split(part(split), grown, nowMillis);
-            account.accrue(nowMillis - Math.max(ownership.grownMillis(slot), configuredMillis), nowMillis);
+            account.updatePart(partOf(split), grown, nowMillis);
+            account.accrue(nowMillis - Math.max(ownership.grownSinceMillis(slot), configuredMillis), nowMillis);
             accounts.put(id, account);
         }
         growIfAllowed(account, nowMillis);
         return account;
     }
 
-    private void growIfAllowed(LenderAccount account, long nowMillis) {
-        if (account.grown()) {
+    private void growIfAllowed(AccountLedger account, long nowMillis) {
+        if (account.isGrown()) {
             return;
         }
         long version = splits.find(account.account()).map(AccountSplit::version).orElse(0L);
@@ -144,8 +144,8 @@
         }
     }
 
-    private void collectRecalls(LenderAccount account, long nowMillis, Map<VmAddress, List<ShareLease>> cuts) {
-        for (LenderAccount.Recall recall : account.recalls(nowMillis)) {
+    private void collectRecalls(AccountLedger account, long nowMillis, Map<VmAddress, List<ShareLease>> cuts) {
+        for (AccountLedger.Recall recall : account.issueRecalls(nowMillis)) {
             cuts.computeIfAbsent(recall.holder(), h -> new ArrayList<>()).add(recall.cut());
         }
     }
@@ -155,11 +155,11 @@
                 (holder, leases) -> out.add(new Action.SendMessage(holder, new ShareRecall(dataCentre(), leases))));
     }
 
-    private Amount part(Optional<AccountSplit> split) {
-        return split.map(s -> s.part(dataCentre())).orElse(Amount.NONE);
+    private RateShare partOf(Optional<AccountSplit> split) {
+        return split.map(s -> s.part(dataCentre())).orElse(RateShare.NONE);
     }
 
-    private int slotOf(LenderAccount account) {
+    private int slotOf(AccountLedger account) {
         return SlotUtils.slotOf(account.account(), settings.slots());
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareDemand.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareReport.java
@@ -15,7 +15,7 @@
  * @param demand statements per second that arrive at the holder
  * @param wantedTokens tokens that the holder lacks for statements that wait or will arrive before its next request
  */
-public record ShareDemand(
+public record ShareReport(
         ClientAccountId account,
         long epoch,
         long appliedGrant,
@@ -27,7 +27,7 @@
         double wantedTokens) {
 
     /** Checks that no number is negative. */
-    public ShareDemand {
+    public ShareReport {
         double least = Math.min(Math.min(rate, burst), Math.min(reservedTokens, returnedTokens));
         if (!(Math.min(least, Math.min(demand, wantedTokens)) >= 0) || epoch < 0 || appliedGrant < 0) {
             throw new IllegalArgumentException("the numbers of a report on " + account
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRequest.java
@@ -11,7 +11,7 @@
  * @param lender data centre whose part of the rates is asked for
  * @param demands one entry for each client account
  */
-public record ShareRequest(long sequence, DataCentreId lender, List<ShareDemand> demands) implements PeerMessage {
+public record ShareRequest(long sequence, DataCentreId lender, List<ShareReport> demands) implements PeerMessage {
 
     /** Copies the list. */
     public ShareRequest {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
@@ -29,7 +29,7 @@
     }
 
     /** Forgets what was derived from an earlier configuration. */
-    void clear() {
+    void clearCandidates() {
         ownCandidates.clear();
     }
 
@@ -72,11 +72,11 @@
         return candidate(dataCentre, slot);
     }
 
-    void learn(DataCentreId dataCentre, int slot, VmAddress owner) {
+    void recordOwner(DataCentreId dataCentre, int slot, VmAddress owner) {
         owners.put(SlotUtils.path(dataCentre, slot), owner);
     }
 
-    void forget(DataCentreId dataCentre, int slot) {
+    void forgetOwner(DataCentreId dataCentre, int slot) {
         owners.remove(SlotUtils.path(dataCentre, slot));
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
@@ -65,12 +65,12 @@
     }
 
     boolean owns(int slot) {
-        return slots.get(slot).owned() && !leaving;
+        return slots.get(slot).isOwned() && !leaving;
     }
 
     /** The slots that this VM owns. */
-    long owned() {
-        return slots.stream().filter(SlotState::owned).count();
+    long ownedSlots() {
+        return slots.stream().filter(SlotState::isOwned).count();
     }
 
     long epoch(int slot) {
@@ -86,8 +86,8 @@
     }
 
     /** Time since which the grown version's splits may be lent in full and no share of a former owner is in use. */
-    long grownMillis(int slot) {
-        return slots.get(slot).grownMillis();
+    long grownSinceMillis(int slot) {
+        return slots.get(slot).grownSinceMillis();
     }
 
     /** Configuration version below which this VM must not lend from a slot. */
@@ -106,36 +106,36 @@
     }
 
     /** Notes that a holder takes this VM for the owner, so that an old record is read again. */
-    void asked(int slot, long nowMillis) {
+    void recordMisdirectedRequest(int slot, long nowMillis) {
         SlotState state = slots.get(slot);
-        if (nowMillis - state.readMillis() >= REREAD_MILLIS && !state.awaiting()) {
-            state.doubt();
+        if (nowMillis - state.readMillis() >= REREAD_MILLIS && !state.hasPendingCalls()) {
+            state.requireRead();
         }
     }
 
-    void wantSettled(int slot, long version) {
-        slots.get(slot).settle(version);
+    void requestSettlement(int slot, long version) {
+        slots.get(slot).requestSettlement(version);
     }
 
     /** Follows a change of the splits from a former configuration version. */
     void configure(long former, Set<Integer> moved) {
         for (SlotState state : slots) {
             if (moved.contains(state.slot())) {
-                state.settle(splits.version());
+                state.requestSettlement(splits.version());
             } else {
-                state.carryGrowth(former, splits.version());
+                state.carryGrownVersion(former, splits.version());
             }
         }
     }
 
     /** Begins to give up all slots; their records are written without an owner. */
-    void handBack() {
+    void releaseAll() {
         leaving = true;
     }
 
     /** Whether no slot is owned. */
-    boolean handedBack() {
-        return slots.stream().noneMatch(SlotState::owned);
+    boolean isReleased() {
+        return slots.stream().noneMatch(SlotState::isOwned);
     }
 
     void tick(ShareLender lender, long nowMillis, Outbox out) {
@@ -148,7 +148,7 @@
             viewMillis = nowMillis;
         }
         for (SlotState state : slots) {
-            if (calls.size() < MAX_CALLS && state.due(nowMillis)) {
+            if (calls.size() < MAX_CALLS && state.isDue(nowMillis)) {
                 advance(state, lender, nowMillis, out);
             }
         }
@@ -159,54 +159,54 @@
         if (call == null) {
             return;
         }
-        call.state().answered();
+        call.state().callAnswered();
         if (call.dataCentre().equals(view.self().dataCentre())) {
             handleOwn(call, event.result(), nowMillis);
         } else {
             event.result()
                     .peek(o -> SlotRecord.decode(o.path(), o.value())
-                            .peek(r -> call.state().others().put(call.dataCentre(), r)))
+                            .peek(r -> call.state().otherRecords().put(call.dataCentre(), r)))
                     .peekLeft(f -> retryLater(call.state(), f, nowMillis));
         }
     }
 
     private void advance(SlotState state, ShareLender lender, long nowMillis, Outbox out) {
         if (state.needsRead()) {
-            if (state.owned() || (!leaving && isCandidate(state.slot(), nowMillis))) {
+            if (state.isOwned() || (!leaving && isCandidate(state.slot(), nowMillis))) {
                 read(state, view.self().dataCentre(), out);
             }
             return;
         }
         SlotRecord record = state.record().get();
         if (leaving) {
-            if (state.owned()) {
-                update(state, record.ownedBy(Optional.empty()), nowMillis, out);
+            if (state.isOwned()) {
+                update(state, record.withOwner(Optional.empty()), nowMillis, out);
             }
-        } else if (state.owned()) {
+        } else if (state.isOwned()) {
             advanceVersions(state, record, lender, nowMillis, out);
         } else if (isVacant(record)
                 && isCandidate(state.slot(), nowMillis)
                 && splits.version() >= record.settledVersion()) {
-            update(state, takeOver(record), nowMillis, out);
+            update(state, claimed(record), nowMillis, out);
         }
     }
 
-    private SlotRecord takeOver(SlotRecord record) {
+    private SlotRecord claimed(SlotRecord record) {
         // A slot that was never owned has no shares out, so it is settled for any version.
-        SlotRecord next = record.ownedBy(Optional.of(view.self()));
-        return record.epoch() == 0 ? next.settled(splits.version(), splits.dataCentres()) : next;
+        SlotRecord next = record.withOwner(Optional.of(view.self()));
+        return record.epoch() == 0 ? next.withSettledVersion(splits.version(), splits.dataCentres()) : next;
     }
 
     /** Records that the slot has shrunk, and then, when all other data centres have too, that it may grow. */
     private void advanceVersions(SlotState state, SlotRecord record, ShareLender lender, long nowMillis, Outbox out) {
         long wanted = splits.slotVersion(state.slot());
         if (wanted > state.grownVersion()) {
-            state.want(wanted);
+            state.requestGrowth(wanted);
         }
         if (state.settleVersion() > record.settledVersion()) {
-            if (splits.version() >= state.settleVersion() && lender.settled(state.slot(), nowMillis)) {
-                state.others().clear();
-                update(state, record.settled(splits.version(), splits.dataCentres()), nowMillis, out);
+            if (splits.version() >= state.settleVersion() && lender.isSettled(state.slot(), nowMillis)) {
+                state.otherRecords().clear();
+                update(state, record.withSettledVersion(splits.version(), splits.dataCentres()), nowMillis, out);
             }
         } else if (wanted > state.grownVersion()) {
             advanceGrowth(state, record, nowMillis, out);
@@ -222,22 +222,23 @@
             if (dataCentre.equals(view.self().dataCentre())) {
                 continue;
             }
-            Optional<SlotRecord> other = Optional.ofNullable(state.others().get(dataCentre));
+            Optional<SlotRecord> other =
+                    Optional.ofNullable(state.otherRecords().get(dataCentre));
             if (other.filter(r -> permitsGrowth(r, state.wantedVersion())).isEmpty()) {
                 complete = false;
-                state.others().remove(dataCentre);
+                state.otherRecords().remove(dataCentre);
                 read(state, dataCentre, out);
-                askToSettle(other, dataCentre, state, out);
+                sendSettleRequest(other, dataCentre, state, out);
             }
         }
         if (complete) {
-            update(state, record.grown(state.wantedVersion(), splits.dataCentres()), nowMillis, out);
+            update(state, record.withGrownVersion(state.wantedVersion(), splits.dataCentres()), nowMillis, out);
         } else {
-            state.delay(nowMillis + backoff.delayMillis(Math.min(state.countFailure(), 5)));
+            state.delayUntil(nowMillis + backoff.delayMillis(Math.min(state.countFailure(), 5)));
         }
     }
 
-    private void askToSettle(Optional<SlotRecord> other, DataCentreId dataCentre, SlotState state, Outbox out) {
+    private void sendSettleRequest(Optional<SlotRecord> other, DataCentreId dataCentre, SlotState state, Outbox out) {
         other.filter(r -> r.settledVersion() < state.wantedVersion())
                 .flatMap(SlotRecord::owner)
                 .ifPresent(o -> out.add(
@@ -264,21 +265,25 @@
     }
 
     private void read(SlotState state, DataCentreId dataCentre, Outbox out) {
-        out.add(new Action.ReadObject(register(state, dataCentre, false), SlotUtils.path(dataCentre, state.slot())));
+        out.add(new Action.ReadObject(
+                registerCall(state, dataCentre, false), SlotUtils.path(dataCentre, state.slot())));
     }
 
     private void update(SlotState state, SlotRecord next, long nowMillis, Outbox out) {
         DataCentreId own = view.self().dataCentre();
         state.propose(next);
-        state.delay(nowMillis);
+        state.delayUntil(nowMillis);
         out.add(new Action.UpdateObject(
-                register(state, own, true), SlotUtils.path(own, state.slot()), state.objectVersion(), next.encode()));
+                registerCall(state, own, true),
+                SlotUtils.path(own, state.slot()),
+                state.objectVersion(),
+                next.encode()));
     }
 
-    private long register(SlotState state, DataCentreId dataCentre, boolean update) {
+    private long registerCall(SlotState state, DataCentreId dataCentre, boolean update) {
         long call = callNumbers.getAsLong();
         calls.put(call, new Call(state, dataCentre, update));
-        state.attempted();
+        state.callStarted();
         return call;
     }
 
@@ -286,18 +291,18 @@
         SlotState state = call.state();
         if (result.isLeft()) {
             if (call.update()) {
-                state.doubt();
+                state.requireRead();
             }
             retryLater(state, result.getLeft(), nowMillis);
             return;
         }
-        state.succeeded();
+        state.resetFailures();
         long version = result.get().version();
         Either<?, SlotRecord> record = call.update() && state.proposed().isPresent()
                 ? Either.right(state.proposed().get())
                 : SlotRecord.decode(result.get().path(), result.get().value());
-        record.peek(r -> state.take(r, version, view.self(), nowMillis + longestLeaseMillis(), nowMillis))
-                .peekLeft(f -> state.delay(nowMillis + MAX_BACKOFF_MILLIS));
+        record.peek(r -> state.applyRecord(r, version, view.self(), nowMillis + longestLeaseMillis(), nowMillis))
+                .peekLeft(f -> state.delayUntil(nowMillis + MAX_BACKOFF_MILLIS));
     }
 
     private long longestLeaseMillis() {
@@ -309,7 +314,7 @@
         if (failure instanceof PlatformFailure.Throttled throttled) {
             delay = Math.max(delay, throttled.retryAfterMillis());
         }
-        state.delay(nowMillis + delay);
+        state.delayUntil(nowMillis + delay);
     }
 
     private record Call(SlotState state, DataCentreId dataCentre, boolean update) {}
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotRecord.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotRecord.java
@@ -37,19 +37,19 @@
         }
     }
 
-    SlotRecord ownedBy(Optional<VmAddress> next) {
+    SlotRecord withOwner(Optional<VmAddress> next) {
         return new SlotRecord(next, next.isPresent() ? epoch + 1 : epoch, settledVersion, grownVersion, dataCentres);
     }
 
     /** A record settled for a version under which data centres have parts. */
-    SlotRecord settled(long version, Set<DataCentreId> named) {
+    SlotRecord withSettledVersion(long version, Set<DataCentreId> named) {
         Set<DataCentreId> all = new TreeSet<>(dataCentres);
         all.addAll(named);
         return new SlotRecord(owner, epoch, version, grownVersion, all);
     }
 
     /** A record that may lend a version's parts in full, after all other data centres have settled for it. */
-    SlotRecord grown(long version, Set<DataCentreId> named) {
+    SlotRecord withGrownVersion(long version, Set<DataCentreId> named) {
         return new SlotRecord(owner, epoch, settledVersion, version, named);
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotState.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotState.java
@@ -47,7 +47,7 @@
         return readMillis;
     }
 
-    boolean owned() {
+    boolean isOwned() {
         return owned;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Time since which the splits of the grown version may be lent in full. */
-    long grownMillis() {
+    long grownSinceMillis() {
         return Math.max(grownMillis, adoptUntilMillis);
     }
 
@@ -70,7 +70,7 @@
         return wantedVersion;
     }
 
-    void want(long version) {
+    void requestGrowth(long version) {
         if (version > wantedVersion) {
             wantedVersion = version;
             settleVersion = Math.max(settleVersion, version);
@@ -83,31 +83,31 @@
         return settleVersion;
     }
 
-    void settle(long version) {
+    void requestSettlement(long version) {
         settleVersion = Math.max(settleVersion, version);
     }
 
-    Map<DataCentreId, SlotRecord> others() {
+    Map<DataCentreId, SlotRecord> otherRecords() {
         return others;
     }
 
-    boolean due(long nowMillis) {
+    boolean isDue(long nowMillis) {
         return awaited == 0 && nowMillis >= nextAttemptMillis;
     }
 
-    void attempted() {
+    void callStarted() {
         awaited++;
     }
 
-    void answered() {
+    void callAnswered() {
         awaited--;
     }
 
-    boolean awaiting() {
+    boolean hasPendingCalls() {
         return awaited > 0;
     }
 
-    void delay(long untilMillis) {
+    void delayUntil(long untilMillis) {
         nextAttemptMillis = untilMillis;
     }
 
@@ -116,7 +116,7 @@
         return failures;
     }
 
-    void succeeded() {
+    void resetFailures() {
         failures = 0;
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** Requires the record to be read again, for example after an update without an answer. */
-    void doubt() {
+    void requireRead() {
         inDoubt = true;
     }
 
@@ -135,7 +135,7 @@
     }
 
     /** Takes a record that was read or written; an update whose answer was lost shows as the proposed record. */
-    void take(SlotRecord next, long version, VmAddress self, long ownUntilMillis, long nowMillis) {
+    void applyRecord(SlotRecord next, long version, VmAddress self, long ownUntilMillis, long nowMillis) {
         boolean mine = next.owner().filter(self::equals).isPresent();
         if (mine && !owned) {
             owned = true;
@@ -162,7 +162,7 @@
     }
 
     /** Advances the grown version over a configuration change that moved no account of this slot. */
-    void carryGrowth(long from, long to) {
+    void carryGrownVersion(long from, long to) {
         if (owned && grownVersion >= from) {
             grownVersion = to;
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SplitTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SplitTable.java
@@ -74,8 +74,8 @@
         List<TeamConfiguration> added = new ArrayList<>();
         compare(next, removed, added);
         Set<ClientAccountId> touched = new HashSet<>();
-        removed.forEach(t -> touch(t, touched));
-        added.forEach(t -> touch(t, touched));
+        removed.forEach(t -> collectAffected(t, touched));
+        added.forEach(t -> collectAffected(t, touched));
         Map<ClientAccountId, List<DataCentreId>> before = new HashMap<>();
         touched.forEach(a -> before.put(a, dataCentres(a)));
         removed.forEach(this::remove);
@@ -103,7 +103,7 @@
     }
 
     /** Collects the accounts of a team and those that use its databases. */
-    private void touch(TeamConfiguration team, Set<ClientAccountId> touched) {
+    private void collectAffected(TeamConfiguration team, Set<ClientAccountId> touched) {
         team.accounts().forEach(a -> touched.add(a.id()));
         team.databases().forEach(d -> touched.addAll(users.getOrDefault(d.id(), Set.of())));
     }
@@ -111,7 +111,7 @@
     private void remove(TeamConfiguration team) {
         for (DatabaseDeclaration database : team.databases()) {
             places.remove(database.id());
-            database.endpoints().forEach(e -> count(e, -1));
+            database.endpoints().forEach(e -> countCell(e, -1));
         }
         for (AccountDeclaration account : team.accounts()) {
             declared.remove(account.id());
@@ -123,7 +123,7 @@
     private void add(TeamConfiguration team) {
         for (DatabaseDeclaration database : team.databases()) {
             places.put(database.id(), Place.of(database, team.version()));
-            database.endpoints().forEach(e -> count(e, 1));
+            database.endpoints().forEach(e -> countCell(e, 1));
         }
         for (AccountDeclaration account : team.accounts()) {
             declared.put(account.id(), new Declared(account, team.version()));
@@ -132,7 +132,7 @@
         }
     }
 
-    private void count(EndpointDeclaration endpoint, int change) {
+    private void countCell(EndpointDeclaration endpoint, int change) {
         TreeMap<CellId, Integer> counts = cells.computeIfAbsent(endpoint.dataCentre(), d -> new TreeMap<>());
         if (counts.merge(endpoint.cell(), change, Integer::sum) <= 0) {
             counts.remove(endpoint.cell());
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/TokenBucket.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/TokenBucket.java
@@ -103,13 +103,13 @@
     }
 
     /** Ends a reservation. */
-    void release(long nowMillis) {
+    void endReservation(long nowMillis) {
         refill(nowMillis);
         reserved = 0;
     }
 
     /** Gives up the burst that a bucket without a rate has used. */
-    void shrinkIfStatic(long nowMillis) {
+    void releaseUsedBurst(long nowMillis) {
         if (ratePerSecond <= 0) {
             resize(0, Math.max(0, tokens), nowMillis);
         }
@@ -135,7 +135,7 @@
      * @param nowMillis milliseconds of the monotonic clock
      * @param maxMillis the longest wait to return
      */
-    public long untilTokenMillis(long nowMillis, long maxMillis) {
+    public long millisUntilToken(long nowMillis, long maxMillis) {
         refill(nowMillis);
         if (burst < 1 || ratePerSecond <= 0) {
             return maxMillis;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Deadline.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Deadline.java
@@ -34,7 +34,7 @@
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public boolean passed(long nowMillis) {
+    public boolean hasPassed(long nowMillis) {
         return nowMillis >= atMillis;
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Attempt.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/FailedAttempt.java
@@ -8,10 +8,10 @@
  * @param mayHaveRun whether a byte of the statement has left towards an endpoint that did not refuse it before running
  * @param deadline when the statement is given up
  */
-public record Attempt(int number, boolean repeatable, boolean mayHaveRun, Deadline deadline) {
+public record FailedAttempt(int number, boolean repeatable, boolean mayHaveRun, Deadline deadline) {
 
     /** Checks the number. */
-    public Attempt {
+    public FailedAttempt {
         if (number < 1) {
             throw new IllegalArgumentException("the number of an attempt must be 1 or more, but is " + number);
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryBudget.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryBudget.java
@@ -40,12 +40,12 @@
     }
 
     /** Counts a first attempt. */
-    public void earn() {
+    public void deposit() {
         tokens = Math.min(maxTokens, tokens + ratio);
     }
 
     /** Spends a token for a retry; false when there is none. */
-    public boolean trySpend() {
+    public boolean tryWithdraw() {
         // Sums of a tenth fall short of a whole by rounding.
         if (tokens < 1 - 1e-9) {
             return false;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryPolicy.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryPolicy.java
@@ -34,8 +34,8 @@
     }
 
     /** Counts a statement's first attempt, which earns budget. */
-    public void started() {
-        budget.earn();
+    public void recordFirstAttempt() {
+        budget.deposit();
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param attempt the attempt
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public RetryDecision afterFailure(Attempt attempt, long nowMillis) {
+    public RetryDecision afterFailure(FailedAttempt attempt, long nowMillis) {
         Execution execution = attempt.mayHaveRun() ? Execution.OUTCOME_UNKNOWN : Execution.NOT_RUN;
         if (attempt.mayHaveRun() && !attempt.repeatable()) {
             return new RetryDecision.Report(execution);
@@ -53,7 +53,7 @@
             return new RetryDecision.Report(execution);
         }
         long delay = backoff.delayMillis(attempt.number());
-        if (attempt.deadline().passed(nowMillis + delay) || !budget.trySpend()) {
+        if (attempt.deadline().hasPassed(nowMillis + delay) || !budget.tryWithdraw()) {
             return new RetryDecision.Report(execution);
         }
         return new RetryDecision.Retry(delay);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueueTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueueTests.java
@@ -69,7 +69,7 @@
             queue.offer(LARGE, i, 1_000, 0);
         }
         assertTrue(queue.offer(SMALL, 10, 1_000, 0).isEmpty());
-        assertEquals(List.of(3), queue.expire(0));
+        assertEquals(List.of(3), queue.removeDropped(0));
         assertEquals(4, queue.size());
         assertTrue(queue.offer(LARGE, 11, 1_000, 0).isDefined());
     }
@@ -80,8 +80,8 @@
         queue.offer(SMALL, 1, 10, 0);
         queue.offer(SMALL, 2, 100, 0);
         assertEquals(Optional.of(2), queue.poll(10));
-        assertEquals(List.of(1), queue.expire(10));
-        assertEquals(List.of(), queue.expire(10));
+        assertEquals(List.of(1), queue.removeDropped(10));
+        assertEquals(List.of(), queue.removeDropped(10));
         assertTrue(queue.offer(SMALL, 3, 10, 10).isDefined());
     }
 
@@ -101,7 +101,7 @@
             } else {
                 queue.poll(now).ifPresent(s -> assertTrue(waiting.remove(s)));
             }
-            queue.expire(now).forEach(s -> assertTrue(waiting.remove(s)));
+            queue.removeDropped(now).forEach(s -> assertTrue(waiting.remove(s)));
             assertEquals(waiting.size(), queue.size());
             assertTrue(queue.size() <= 12);
         }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairQueue.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairQueue.java
@@ -6,26 +6,26 @@
 import org.hyssopswitch.core.failure.Refusal;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** The queue under test, weighted by the rates of {@link FairnessRun}. */
-final class FairQueue implements StatementQueue<FairnessRun.Statement> {
+/** The queue under test, weighted by the rates of {@link FairnessSimulation}. */
+final class FairQueue implements StatementQueue<FairnessSimulation.Statement> {
 
-    private final DeficitRoundRobinQueue<FairnessRun.Statement> queue =
-            new DeficitRoundRobinQueue<>(FairnessRun::rate, QueueLimits.DEFAULT);
+    private final DeficitRoundRobinQueue<FairnessSimulation.Statement> queue =
+            new DeficitRoundRobinQueue<>(FairnessSimulation::rate, QueueLimits.DEFAULT);
 
     @Override
     public Option<Refusal> offer(
-            ClientAccountId account, FairnessRun.Statement item, long deadlineMillis, long nowMillis) {
+            ClientAccountId account, FairnessSimulation.Statement item, long deadlineMillis, long nowMillis) {
         return queue.offer(account, item, deadlineMillis, nowMillis);
     }
 
     @Override
-    public Optional<FairnessRun.Statement> poll(long nowMillis) {
+    public Optional<FairnessSimulation.Statement> poll(long nowMillis) {
         return queue.poll(nowMillis);
     }
 
     @Override
-    public List<FairnessRun.Statement> expire(long nowMillis) {
-        return queue.expire(nowMillis);
+    public List<FairnessSimulation.Statement> removeDropped(long nowMillis) {
+        return queue.removeDropped(nowMillis);
     }
 
     @Override
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessMeasureTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessMeasureTests.java
@@ -13,11 +13,13 @@
 
     @Test
     void anAccountAtEightTimesItsRateBarelyTouchesTheOthers() {
-        FairnessRun calm = FairnessRun.run(new FairQueue(), Optional.of(FairnessRun.limiter()), 1, SEED);
-        FairnessRun abused = FairnessRun.run(new FairQueue(), Optional.of(FairnessRun.limiter()), 8, SEED);
-        FairnessRun unlimited = FairnessRun.run(new FairQueue(), Optional.empty(), 8, SEED);
-        FairnessRun calmSingle = FairnessRun.run(new SingleQueue(), Optional.empty(), 1, SEED);
-        FairnessRun abusedSingle = FairnessRun.run(new SingleQueue(), Optional.empty(), 8, SEED);
+        FairnessSimulation calm =
+                FairnessSimulation.run(new FairQueue(), Optional.of(FairnessSimulation.limiter()), 1, SEED);
+        FairnessSimulation abused =
+                FairnessSimulation.run(new FairQueue(), Optional.of(FairnessSimulation.limiter()), 8, SEED);
+        FairnessSimulation unlimited = FairnessSimulation.run(new FairQueue(), Optional.empty(), 8, SEED);
+        FairnessSimulation calmSingle = FairnessSimulation.run(new SharedFifoQueue(), Optional.empty(), 1, SEED);
+        FairnessSimulation abusedSingle = FairnessSimulation.run(new SharedFifoQueue(), Optional.empty(), 8, SEED);
         print("limiter and deficit round robin", calm, abused);
         print("deficit round robin alone", calm, unlimited);
         print("first come first served", calmSingle, abusedSingle);
@@ -27,7 +29,7 @@
         assertTrue(abusedSingle.worstP99Ratio(calmSingle) > 1.25, "the baseline must show the harm");
     }
 
-    private static void print(String name, FairnessRun calm, FairnessRun abused) {
+    private static void print(String name, FairnessSimulation calm, FairnessSimulation abused) {
         System.out.printf(
                 "fairness %s: worst p99 of others calm=%.1f ms abused=%.1f ms worst ratio=%.2f refused others=%d%n",
                 name, calm.worstP99(), abused.worstP99(), abused.worstP99Ratio(calm), abused.refusedOthers());
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessRun.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessSimulation.java
@@ -17,7 +17,7 @@
 import org.hyssopswitch.core.limit.RateLimiter;
 
 /** Statements of eight accounts at one endpoint of three slots, in steps of a tenth of a millisecond. */
-final class FairnessRun {
+final class FairnessSimulation {
 
     private static final double[] RATES = {120, 90, 60, 30, 20, 15, 10, 5};
     private static final double LOAD = 0.8;
@@ -34,15 +34,16 @@
     private final double[] slotFreeMillis = new double[SLOTS];
     private long refusedOthers;
 
-    private FairnessRun(StatementQueue<Statement> queue, Optional<RateLimiter> limiter, long seed) {
+    private FairnessSimulation(StatementQueue<Statement> queue, Optional<RateLimiter> limiter, long seed) {
         this.queue = queue;
         this.limiter = limiter;
         this.service = new SplittableRandom(seed + 1);
     }
 
     /** Runs with the largest account at a multiple of its rate. */
-    static FairnessRun run(StatementQueue<Statement> queue, Optional<RateLimiter> limiter, double multiple, long seed) {
-        FairnessRun run = new FairnessRun(queue, limiter, seed);
+    static FairnessSimulation run(
+            StatementQueue<Statement> queue, Optional<RateLimiter> limiter, double multiple, long seed) {
+        FairnessSimulation run = new FairnessSimulation(queue, limiter, seed);
         List<SplittableRandom> arrivals = new ArrayList<>();
         for (int i = 0; i < RATES.length; i++) {
             arrivals.add(new SplittableRandom(seed * 31 + i));
@@ -79,7 +80,7 @@
         return others().stream().mapToDouble(this::p99).max().orElse(0);
     }
 
-    double worstP99Ratio(FairnessRun calm) {
+    double worstP99Ratio(FairnessSimulation calm) {
         return others().stream().mapToDouble(a -> p99(a) / calm.p99(a)).max().orElse(0);
     }
 
@@ -91,7 +92,7 @@
                 offer(new Statement(new ClientAccountId("a" + i), now, millis + DEADLINE_MILLIS), millis);
             }
         }
-        queue.expire(millis).forEach(this::refused);
+        queue.removeDropped(millis).forEach(this::refused);
         for (int slot = 0; slot < SLOTS; slot++) {
             if (slotFreeMillis[slot] <= now) {
                 serve(slot, now, millis);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/SingleQueue.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/SharedFifoQueue.java
@@ -11,13 +11,13 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 
 /** The baseline: one queue for all client accounts, first come first served, with the same bound in total. */
-final class SingleQueue implements StatementQueue<FairnessRun.Statement> {
+final class SharedFifoQueue implements StatementQueue<FairnessSimulation.Statement> {
 
-    private final Deque<FairnessRun.Statement> queue = new ArrayDeque<>();
+    private final Deque<FairnessSimulation.Statement> queue = new ArrayDeque<>();
 
     @Override
     public Option<Refusal> offer(
-            ClientAccountId account, FairnessRun.Statement item, long deadlineMillis, long nowMillis) {
+            ClientAccountId account, FairnessSimulation.Statement item, long deadlineMillis, long nowMillis) {
         if (queue.size() >= QueueLimits.DEFAULT.total()) {
             return Option.some(new Refusal.Overloaded(account, 100));
         }
@@ -26,15 +26,15 @@
     }
 
     @Override
-    public Optional<FairnessRun.Statement> poll(long nowMillis) {
+    public Optional<FairnessSimulation.Statement> poll(long nowMillis) {
         return Optional.ofNullable(queue.poll());
     }
 
     @Override
-    public List<FairnessRun.Statement> expire(long nowMillis) {
-        List<FairnessRun.Statement> expired = new ArrayList<>();
-        for (Iterator<FairnessRun.Statement> i = queue.iterator(); i.hasNext(); ) {
-            FairnessRun.Statement next = i.next();
+    public List<FairnessSimulation.Statement> removeDropped(long nowMillis) {
+        List<FairnessSimulation.Statement> expired = new ArrayList<>();
+        for (Iterator<FairnessSimulation.Statement> i = queue.iterator(); i.hasNext(); ) {
+            FairnessSimulation.Statement next = i.next();
             if (next.deadlineMillis() <= nowMillis) {
                 expired.add(next);
                 i.remove();
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakePlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
@@ -11,7 +11,7 @@
 import org.hyssopswitch.core.engine.StoredObject;
 
 /** Objects with conditional updates; can be down, and can lose the answer to an update that took effect. */
-final class FakePlatform {
+final class FakeObjectStore {
 
     private final Map<String, StoredObject> objects = new HashMap<>();
     private final SplittableRandom random;
@@ -21,15 +21,15 @@
     private long reads;
     private long updates;
 
-    FakePlatform(SplittableRandom random) {
+    FakeObjectStore(SplittableRandom random) {
         this.random = random;
     }
 
-    void down(boolean isDown) {
+    void setDown(boolean isDown) {
         down = isDown;
     }
 
-    void lostAnswers(double probability) {
+    void setLostAnswerProbability(double probability) {
         lostAnswers = probability;
     }
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
@@ -26,11 +26,11 @@
         switch (random.nextInt(9)) {
             case 0 -> fleet.vms().get(vm).pause(fleet.now() + random.nextInt(15_000));
             case 1 -> fleet.restart(vm);
-            case 2, 3 -> fleet.cut(dataCentre(), dataCentre(), random.nextBoolean());
-            case 4 -> fleet.links(random.nextDouble() / 3, random.nextDouble() / 3, random.nextInt(1_500));
-            case 5 -> fleet.links(0, 0, 0);
-            case 6 -> fleet.platform().down(random.nextBoolean());
-            case 7 -> fleet.platform().lostAnswers(random.nextDouble() / 2);
+            case 2, 3 -> fleet.setPartitioned(dataCentre(), dataCentre(), random.nextBoolean());
+            case 4 -> fleet.setLinkFaults(random.nextDouble() / 3, random.nextDouble() / 3, random.nextInt(1_500));
+            case 5 -> fleet.setLinkFaults(0, 0, 0);
+            case 6 -> fleet.platform().setDown(random.nextBoolean());
+            case 7 -> fleet.platform().setLostAnswerProbability(random.nextDouble() / 2);
             default -> {
                 version++;
                 fleet.configure(LimitFaultTests.configuration(version, 1 + random.nextInt(3)));
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
@@ -30,14 +30,14 @@
     }
 
     /** Compares what all VMs hold now with the rate and burst; one entry for each client account that holds more. */
-    static List<String> overheld(LimitFleet fleet, Map<ClientAccountId, Rate> rates) {
+    static List<String> excessHoldings(LimitFleet fleet, Map<ClientAccountId, Rate> rates) {
         List<String> breaches = new ArrayList<>();
         rates.forEach((account, rate) -> {
-            Amount held = fleet.vms().stream()
-                    .filter(vm -> vm.running(fleet.now()))
-                    .map(vm -> vm.system().held(account, vm.clock(fleet.now())))
-                    .reduce(Amount.NONE, Amount::plus);
-            if (!held.fits(new Amount(rate.perSecond() + 1e-6, rate.burst() + 1e-6))) {
+            RateShare held = fleet.vms().stream()
+                    .filter(vm -> vm.isRunning(fleet.now()))
+                    .map(vm -> vm.system().heldShare(account, vm.localMillis(fleet.now())))
+                    .reduce(RateShare.NONE, RateShare::plus);
+            if (!held.fitsWithin(new RateShare(rate.perSecond() + 1e-6, rate.burst() + 1e-6))) {
                 breaches.add("at " + fleet.now() + " " + account + " holds " + held + " of " + rate);
             }
         });
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFaultTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFaultTests.java
@@ -36,12 +36,12 @@
 
     @Property(tries = 60, seed = "20")
     void neverAdmitsMoreThanRateAndBurstUnderFaults(@ForAll long seed) {
-        assertEquals(List.of(), faultRun(seed, Mutation.NONE), "seed " + seed);
+        assertEquals(List.of(), faultRun(seed, LimitMutation.NONE), "seed " + seed);
     }
 
     @ParameterizedTest
-    @EnumSource(value = Mutation.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void theAuditNoticesABrokenMechanism(Mutation mutation) {
+    @EnumSource(value = LimitMutation.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
+    void auditDetectsInjectedDefect(LimitMutation mutation) {
         boolean noticed = false;
         for (long seed = 1; seed <= 60 && !noticed; seed++) {
             noticed = !faultRun(seed, mutation).isEmpty();
@@ -50,8 +50,8 @@
     }
 
     @Test
-    void refusesFewInRateStatementsOfRoamingSessions() {
-        LimitFleet fleet = fleet(3, 2, LimitSettings.DEFAULT, Mutation.NONE, 7);
+    void rarelyRefusesInRateStatementsOfRoamingSessions() {
+        LimitFleet fleet = fleet(3, 2, LimitSettings.DEFAULT, LimitMutation.NONE, 7);
         LimitLoad load = new LimitLoad(fleet, rates(), ROAMING, 7);
         run(fleet, load, 20_000);
         load.reset();
@@ -61,14 +61,14 @@
     }
 
     @Test
-    void servesFromTheOwnPartWhileADataCentreIsCutOff() {
-        LimitFleet fleet = fleet(3, 2, LimitSettings.DEFAULT, Mutation.NONE, 8);
+    void servesFromLocalPartWhileDataCentreIsPartitioned() {
+        LimitFleet fleet = fleet(3, 2, LimitSettings.DEFAULT, LimitMutation.NONE, 8);
         LimitLoad load = new LimitLoad(fleet, rates(), new LimitLoad.Shape(0.5, 4, 0.5), 8);
         run(fleet, load, 20_000);
         load.reset();
-        fleet.cut(new DataCentreId("dc0"), new DataCentreId("dc1"), true);
-        fleet.cut(new DataCentreId("dc0"), new DataCentreId("dc2"), true);
-        fleet.platform().down(true);
+        fleet.setPartitioned(new DataCentreId("dc0"), new DataCentreId("dc1"), true);
+        fleet.setPartitioned(new DataCentreId("dc0"), new DataCentreId("dc2"), true);
+        fleet.platform().setDown(true);
         run(fleet, load, 120_000);
         print("partition", fleet, load);
         assertTrue(load.wrongfulRefusals() < load.wrongfulRefusalsOfEvenSplit());
@@ -76,8 +76,8 @@
     }
 
     @Test
-    void movesShareToANewPlaceWithinASecond() {
-        LimitFleet fleet = fleet(1, 2, LimitSettings.DEFAULT, Mutation.NONE, 9);
+    void movesShareToAnotherVmWithinASecond() {
+        LimitFleet fleet = fleet(1, 2, LimitSettings.DEFAULT, LimitMutation.NONE, 9);
         Map<ClientAccountId, Rate> one = Map.of(new ClientAccountId("a0"), rates().get(new ClientAccountId("a0")));
         LimitLoad load = new LimitLoad(fleet, one, ROAMING, 9);
         run(fleet, load, 20_000);
@@ -86,7 +86,7 @@
         assertTrue(load.wrongfulRefusals() < GOAL, "wrongful refusals " + load.wrongfulRefusals());
     }
 
-    private static List<String> faultRun(long seed, Mutation mutation) {
+    private static List<String> faultRun(long seed, LimitMutation mutation) {
         LimitFleet fleet = fleet(3, 2, SHORT, mutation, seed);
         LimitLoad load = new LimitLoad(fleet, rates(), STORM, seed);
         FaultSchedule faults = new FaultSchedule(fleet, new SplittableRandom(seed));
@@ -95,7 +95,7 @@
             fleet.step();
             load.step();
             if (i % LimitFleet.TICK_MILLIS == 0) {
-                List<String> overheld = LimitAudit.overheld(fleet, rates());
+                List<String> overheld = LimitAudit.excessHoldings(fleet, rates());
                 if (!overheld.isEmpty()) {
                     return overheld;
                 }
@@ -133,7 +133,7 @@
         return rates;
     }
 
-    static LimitFleet fleet(int dataCentres, int vms, LimitSettings settings, Mutation mutation, long seed) {
+    static LimitFleet fleet(int dataCentres, int vms, LimitSettings settings, LimitMutation mutation, long seed) {
         LimitFleet fleet = new LimitFleet(dataCentres, vms, settings, mutation, seed);
         fleet.configure(configuration(1, dataCentres));
         return fleet;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFleet.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFleet.java
@@ -31,8 +31,8 @@
     private final Set<Set<DataCentreId>> cuts = new HashSet<>();
     private final SplittableRandom random;
     private final LimitSettings settings;
-    private final Mutation mutation;
-    private final FakePlatform platform;
+    private final LimitMutation mutation;
+    private final FakeObjectStore platform;
     private Configuration configuration = Configuration.EMPTY;
     private long now;
     private long order;
@@ -41,11 +41,11 @@
     private long extraDelayMillis;
     private long messages;
 
-    LimitFleet(int dataCentres, int vmsPerDataCentre, LimitSettings settings, Mutation mutation, long seed) {
+    LimitFleet(int dataCentres, int vmsPerDataCentre, LimitSettings settings, LimitMutation mutation, long seed) {
         this.random = new SplittableRandom(seed);
         this.settings = settings;
         this.mutation = mutation;
-        this.platform = new FakePlatform(random.split());
+        this.platform = new FakeObjectStore(random.split());
         for (int d = 0; d < dataCentres; d++) {
             for (int v = 0; v < vmsPerDataCentre; v++) {
                 vms.add(start("vm" + d + "-" + v, 1, new DataCentreId("dc" + d), new CellId("cell" + d)));
@@ -57,7 +57,7 @@
         return vms;
     }
 
-    FakePlatform platform() {
+    FakeObjectStore platform() {
         return platform;
     }
 
@@ -90,7 +90,7 @@
         next.configure(configuration, now);
     }
 
-    void cut(DataCentreId one, DataCentreId other, boolean isCut) {
+    void setPartitioned(DataCentreId one, DataCentreId other, boolean isCut) {
         if (isCut && !one.equals(other)) {
             cuts.add(Set.of(one, other));
         } else {
@@ -98,7 +98,7 @@
         }
     }
 
-    void links(double dropProbability, double duplicateProbability, long maxExtraDelayMillis) {
+    void setLinkFaults(double dropProbability, double duplicateProbability, long maxExtraDelayMillis) {
         dropped = dropProbability;
         duplicated = duplicateProbability;
         extraDelayMillis = maxExtraDelayMillis;
@@ -112,8 +112,8 @@
         }
         for (int i = 0; i < vms.size(); i++) {
             LimitVm vm = vms.get(i);
-            if ((now + i) % TICK_MILLIS == 0 && vm.running(now)) {
-                vm.system().tick(vm.clock(now), outbox(vm));
+            if ((now + i) % TICK_MILLIS == 0 && vm.isRunning(now)) {
+                vm.system().tick(vm.localMillis(now), outbox(vm));
             }
         }
     }
@@ -123,7 +123,7 @@
     }
 
     /** Takes a VM from the candidates for new work. */
-    void leave(LimitVm vm) {
+    void markLeaving(LimitVm vm) {
         leaving.add(vm.self());
     }
 
@@ -134,24 +134,25 @@
                 .toList();
     }
 
-    boolean suspected(VmAddress address) {
-        return vms.stream().anyMatch(v -> v.self().equals(address) && !v.running(now));
+    boolean isSuspected(VmAddress address) {
+        return vms.stream().anyMatch(v -> v.self().equals(address) && !v.isRunning(now));
     }
 
-    boolean confirmedGone(VmId vm, long incarnation) {
+    boolean isConfirmedGone(VmId vm, long incarnation) {
         boolean gone = ended.stream()
                 .anyMatch(v -> v.self().vm().equals(vm)
                         && v.self().incarnation() == incarnation
                         && now >= v.endMillis() + GONE_LAG_MILLIS);
-        boolean paused = mutation == Mutation.TAKEOVER_UNCONFIRMED
-                && vms.stream().anyMatch(v -> v.self().vm().equals(vm) && !v.running(now));
+        boolean paused = mutation == LimitMutation.TAKEOVER_UNCONFIRMED
+                && vms.stream().anyMatch(v -> v.self().vm().equals(vm) && !v.isRunning(now));
         return gone || paused;
     }
 
     private LimitVm start(String name, long incarnation, DataCentreId dataCentre, CellId cell) {
         VmAddress address = new VmAddress(new VmId(name), incarnation, dataCentre, cell, "127.0.0.1", 1);
         double drift = 1 + (random.nextDouble() - 0.5) / 150;
-        double rate = mutation == Mutation.SLOW_CLOCKS && dataCentre.value().equals("dc0") ? drift / 3 : drift;
+        double rate =
+                mutation == LimitMutation.SLOW_CLOCKS && dataCentre.value().equals("dc0") ? drift / 3 : drift;
         return new LimitVm(this, address, settings, random.split(), rate);
     }
 
@@ -187,15 +188,15 @@
 
     private void deliver(Delivery delivery) {
         LimitVm to = delivery.to();
-        if (to.ended(now)) {
+        if (to.hasEnded(now)) {
             return;
         }
-        if (!to.running(now)) {
+        if (!to.isRunning(now)) {
             schedule(to, to.resumeMillis() - now, delivery.event(), delivery.from());
         } else if (delivery.event() == null) {
             to.configure(configuration, now);
         } else if (delivery.from() == null || !isCut(delivery.from(), to.self())) {
-            to.system().handle(delivery.event(), to.clock(now), outbox(to));
+            to.system().handle(delivery.event(), to.localMillis(now), outbox(to));
         }
     }
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitLoad.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitLoad.java
@@ -76,11 +76,11 @@
     }
 
     private void ask(Source source, LimitVm vm, long arrivedMillis, boolean counted) {
-        if (!vm.running(fleet.now())) {
+        if (!vm.isRunning(fleet.now())) {
             return;
         }
-        long clock = vm.clock(fleet.now());
-        Admission admission = vm.system().admit(source.account, vm.clock(arrivedMillis), clock);
+        long clock = vm.localMillis(fleet.now());
+        Admission admission = vm.system().admit(source.account, vm.localMillis(arrivedMillis), clock);
         if (admission instanceof Admission.Admitted) {
             admissions.computeIfAbsent(source.account, a -> new ArrayList<>()).add(fleet.now());
         } else if (admission instanceof Admission.Wait wait) {
@@ -131,7 +131,7 @@
 
         private void arrive() {
             int vm = places[random.nextInt(places.length)];
-            boolean counted = ideal.tryTake(fleet.now()) && fleet.vms().get(vm).running(fleet.now());
+            boolean counted = ideal.tryTake(fleet.now()) && fleet.vms().get(vm).isRunning(fleet.now());
             offered++;
             LimitLoad.this.inRate += counted ? 1 : 0;
             inRate += counted ? 1 : 0;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/Mutation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitMutation.java
@@ -3,7 +3,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /** A mechanism broken on purpose, to prove that the audit notices. */
-enum Mutation {
+enum LimitMutation {
     NONE,
     /** A share counts as returned as soon as its holder is asked, not when the holder has confirmed. */
     RETURN_UNCONFIRMED,
@@ -21,7 +21,7 @@
                     r.sequence(),
                     r.lender(),
                     r.demands().stream()
-                            .map(d -> new ShareDemand(
+                            .map(d -> new ShareReport(
                                     d.account(),
                                     d.epoch(),
                                     Long.MAX_VALUE,
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitVm.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitVm.java
@@ -32,15 +32,15 @@
         return system;
     }
 
-    long clock(long nowMillis) {
+    long localMillis(long nowMillis) {
         return clockOffsetMillis + Math.round(nowMillis * clockRate);
     }
 
-    boolean running(long nowMillis) {
+    boolean isRunning(long nowMillis) {
         return nowMillis >= pausedUntilMillis && nowMillis < endedMillis;
     }
 
-    boolean ended(long nowMillis) {
+    boolean hasEnded(long nowMillis) {
         return nowMillis >= endedMillis;
     }
 
@@ -61,7 +61,7 @@
     }
 
     void configure(Configuration configuration, long nowMillis) {
-        system.configure(configuration, clock(nowMillis), fleet.outbox(this));
+        system.configure(configuration, localMillis(nowMillis), fleet.outbox(this));
     }
 
     @Override
@@ -86,11 +86,11 @@
 
     @Override
     public boolean isSuspected(VmAddress vm) {
-        return fleet.suspected(vm);
+        return fleet.isSuspected(vm);
     }
 
     @Override
     public boolean isConfirmedGone(VmId vm, long incarnation) {
-        return fleet.confirmedGone(vm, incarnation);
+        return fleet.isConfirmedGone(vm, incarnation);
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotRecordTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotRecordTests.java
@@ -23,15 +23,15 @@
             new VmAddress(new VmId("vm1"), 7, DATA_CENTRE, new CellId("c1"), "127.0.0.1", 4_000);
 
     @Test
-    void readsWhatItWrites() {
+    void decodesEncodedRecord() {
         SlotRecord owned = new SlotRecord(Optional.of(VM), 3, 11, 10, Set.of(DATA_CENTRE, new DataCentreId("dc2")));
         assertEquals(owned, SlotRecord.decode("p", owned.encode()).get());
-        SlotRecord handedBack = owned.ownedBy(Optional.empty());
+        SlotRecord handedBack = owned.withOwner(Optional.empty());
         assertEquals(handedBack, SlotRecord.decode("p", handedBack.encode()).get());
     }
 
     @Test
-    void takesAMissingObjectForASlotThatWasNeverOwned() {
+    void decodesEmptyValueAsNeverOwned() {
         assertEquals(SlotRecord.NEVER_OWNED, SlotRecord.decode("p", new byte[0]).get());
     }
 
@@ -44,10 +44,10 @@
     }
 
     @Test
-    void refusesReportsAndSharesWithNegativeNumbers() {
+    void rejectsReportsAndLeasesWithNegativeNumbers() {
         ClientAccountId account = new ClientAccountId("a");
-        assertThrows(IllegalArgumentException.class, () -> new ShareDemand(account, 1, 1, Double.NaN, 0, 0, 0, 0, 0));
-        assertThrows(IllegalArgumentException.class, () -> new ShareDemand(account, 1, 1, 1, 1, 0, -1, 0, 0));
+        assertThrows(IllegalArgumentException.class, () -> new ShareReport(account, 1, 1, Double.NaN, 0, 0, 0, 0, 0));
+        assertThrows(IllegalArgumentException.class, () -> new ShareReport(account, 1, 1, 1, 1, 0, -1, 0, 0));
         assertThrows(IllegalArgumentException.class, () -> new ShareLease(account, 1, 1, -1, 0, 0, 1));
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitHandBackTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotReleaseTests.java
@@ -8,19 +8,19 @@
 import org.hyssopswitch.core.drain.DrainSystem;
 import org.junit.jupiter.api.Test;
 
-class LimitHandBackTests {
+class SlotReleaseTests {
 
     @Test
-    void aLeavingVmHandsItsSlotsToAnother() {
-        LimitFleet fleet = LimitFaultTests.fleet(1, 2, LimitSettings.DEFAULT, Mutation.NONE, 3);
+    void leavingVmReleasesItsSlotsToAnotherVm() {
+        LimitFleet fleet = LimitFaultTests.fleet(1, 2, LimitSettings.DEFAULT, LimitMutation.NONE, 3);
         LimitLoad load = new LimitLoad(fleet, LimitFaultTests.rates(), new LimitLoad.Shape(0.5, 2, 1), 3);
         run(fleet, load, 5_000);
         LimitVm leaving = fleet.vms().get(0);
         assertTrue(leaving.system().ownedSlots() > 0);
-        DrainSystem drain = new DrainSystem(() -> fleet.leave(leaving), leaving.system());
-        drain.begin();
+        DrainSystem drain = new DrainSystem(() -> fleet.markLeaving(leaving), leaving.system());
+        drain.requestDrain();
         for (int i = 0; i < 3_000; i++) {
-            drain.tick(leaving.clock(fleet.now()), fleet.outbox(leaving));
+            drain.tick(leaving.localMillis(fleet.now()), fleet.outbox(leaving));
             fleet.step();
         }
         assertEquals(DrainPhase.DONE, drain.phase());
@@ -30,15 +30,15 @@
     }
 
     @Test
-    void aLeavingVmDoesNotWaitForAPlatformThatIsAway() {
-        LimitFleet fleet = LimitFaultTests.fleet(1, 2, LimitSettings.DEFAULT, Mutation.NONE, 4);
+    void leavingVmDoesNotWaitForUnavailablePlatform() {
+        LimitFleet fleet = LimitFaultTests.fleet(1, 2, LimitSettings.DEFAULT, LimitMutation.NONE, 4);
         run(fleet, new LimitLoad(fleet, LimitFaultTests.rates(), new LimitLoad.Shape(0.5, 2, 1), 4), 5_000);
-        fleet.platform().down(true);
+        fleet.platform().setDown(true);
         LimitVm leaving = fleet.vms().get(0);
-        DrainSystem drain = new DrainSystem(() -> fleet.leave(leaving), leaving.system());
-        drain.begin();
+        DrainSystem drain = new DrainSystem(() -> fleet.markLeaving(leaving), leaving.system());
+        drain.requestDrain();
         for (int i = 0; i <= DrainSystem.HAND_BACK_TIMEOUT_MILLIS + 100; i++) {
-            drain.tick(leaving.clock(fleet.now()), fleet.outbox(leaving));
+            drain.tick(leaving.localMillis(fleet.now()), fleet.outbox(leaving));
             fleet.step();
         }
         assertEquals(DrainPhase.DONE, drain.phase());
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/TokenBucketTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/TokenBucketTests.java
@@ -15,12 +15,12 @@
     void startsEmpty() {
         TokenBucket bucket = new TokenBucket(10, 5, 1_000);
         assertFalse(bucket.tryTake(1_000));
-        assertEquals(100, bucket.untilTokenMillis(1_000, 1_000));
+        assertEquals(100, bucket.millisUntilToken(1_000, 1_000));
         assertTrue(bucket.tryTake(1_100));
     }
 
     @Test
-    void aLargerBurstBringsNoTokens() {
+    void largerBurstAddsNoTokens() {
         TokenBucket bucket = new TokenBucket(10, 1, 0);
         bucket.resize(10, 50, 10_000);
         assertEquals(1, bucket.tokens(10_000), 1e-9);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/retry/RetryPolicyTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/retry/RetryPolicyTests.java
@@ -27,7 +27,7 @@
     })
     void repeatsOnlyWhatMayBeRepeated(
             int number, boolean repeatable, boolean mayHaveRun, String expected, Execution execution) {
-        RetryDecision decision = policy(100).afterFailure(new Attempt(number, repeatable, mayHaveRun, FAR), 0);
+        RetryDecision decision = policy(100).afterFailure(new FailedAttempt(number, repeatable, mayHaveRun, FAR), 0);
         if (expected.equals("retry")) {
             assertInstanceOf(RetryDecision.Retry.class, decision);
         } else {
@@ -37,7 +37,7 @@
 
     @Test
     void reportsWhenTheDelayWouldPassTheDeadline() {
-        Attempt attempt = new Attempt(1, true, false, new Deadline(1));
+        FailedAttempt attempt = new FailedAttempt(1, true, false, new Deadline(1));
         assertEquals(new RetryDecision.Report(Execution.NOT_RUN), policy(100).afterFailure(attempt, 0));
     }
 
@@ -46,10 +46,10 @@
         RetryPolicy policy = policy(0);
         int attempts = 0;
         for (int i = 0; i < statements; i++) {
-            policy.started();
+            policy.recordFirstAttempt();
             attempts++;
             int number = 1;
-            while (policy.afterFailure(new Attempt(number, true, true, FAR), 0) instanceof RetryDecision.Retry) {
+            while (policy.afterFailure(new FailedAttempt(number, true, true, FAR), 0) instanceof RetryDecision.Retry) {
                 number++;
                 attempts++;
             }
@@ -68,7 +68,7 @@
         RetryPolicy policy =
                 new RetryPolicy(4, new RetryBudget(), new Backoff(10, 1_000, new SplittableRandom(started)));
         for (int i = 0; i < started; i++) {
-            policy.started();
+            policy.recordFirstAttempt();
         }
         return policy;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Catalog.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Catalog.java
@@ -18,7 +18,7 @@
 public record Catalog(
         long version,
         Map<String, Route> routes,
-        Map<String, Group> groups,
+        Map<String, GroupDeclaration> groups,
         Map<String, Account> accounts,
         long transactionIdleMillis) {
 
@@ -44,11 +44,15 @@
     public static Catalog of(
             long version,
             List<Route> routes,
-            List<Group> groups,
+            List<GroupDeclaration> groups,
             Map<String, Account> accounts,
             long transactionIdleMillis) {
         return new Catalog(
-                version, byKey(routes, Route::database), byKey(groups, Group::name), accounts, transactionIdleMillis);
+                version,
+                byKey(routes, Route::database),
+                byKey(groups, GroupDeclaration::name),
+                accounts,
+                transactionIdleMillis);
     }
 
     /**
@@ -56,7 +60,7 @@
      *
      * @param database name as given by the caller
      */
-    public Option<Route> route(String database) {
+    public Option<Route> findRoute(String database) {
         return Option.of(routes.get(database));
     }
 
@@ -65,7 +69,7 @@
      *
      * @param key the key as given by the caller
      */
-    public Option<Account> account(String key) {
+    public Option<Account> findAccount(String key) {
         return Option.of(accounts.get(key));
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Endpoint.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Endpoint.java
@@ -31,7 +31,7 @@
      *
      * @param other another entry with the same identifier
      */
-    public boolean sameProcess(Endpoint other) {
+    public boolean isSameProcess(Endpoint other) {
         return bornMillis == other.bornMillis && port == other.port && host.equals(other.host);
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/EndpointDirectory.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/EndpointDirectory.java
@@ -33,7 +33,7 @@
     }
 
     /** The store has answered after an outage. */
-    public void storeRegained() {
+    public void storeRecovered() {
         holdUntilMillis = clock.getAsLong() + RENEWAL_MILLIS;
     }
 
@@ -78,7 +78,7 @@
      *
      * @return whether any was removed
      */
-    public boolean tick() {
+    public boolean removeExpired() {
         long now = clock.getAsLong();
         List<String> due = removeAtMillis.entrySet().stream()
                 .filter(entry -> now >= entry.getValue())
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Route.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Route.java
@@ -33,7 +33,7 @@
     }
 
     /** Whether a replica may serve the reads. */
-    public boolean replicaReads() {
+    public boolean allowsReplicaReads() {
         return consistency != Consistency.LATEST && stalenessMillis > 0;
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/BorrowedLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/BorrowedLink.java
@@ -13,5 +13,5 @@
      * @param values the session's values
      * @param shape the prepared statement to execute next
      */
-    void adopt(Map<String, String> values, Option<PreparedShape> shape);
+    void applySession(Map<String, String> values, Option<PreparedShape> shape);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionBudget.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionBudget.java
@@ -51,7 +51,7 @@
     }
 
     /** Connections that this VM keeps; more are opened only while all of them are lent. */
-    int kept(boolean lender, long nowMillis) {
+    int targetSize(boolean lender, long nowMillis) {
         if (stopping) {
             return 0;
         }
@@ -62,11 +62,11 @@
     }
 
     /** Connections that this VM holds at most. */
-    int most(long nowMillis) {
+    int maxSize(long nowMillis) {
         return nowMillis < cappedUntilMillis ? cap : limits.endpointMax();
     }
 
-    void lending(long nowMillis) {
+    void recordLending(long nowMillis) {
         lendingUntilMillis = nowMillis + LENDING_MILLIS;
     }
 
@@ -75,28 +75,28 @@
         stopping = true;
     }
 
-    void yieldExtra(long nowMillis) {
+    void limitToGuaranteed(long nowMillis) {
         yieldUntilMillis = nowMillis + YIELD_MILLIS;
     }
 
     /** The endpoint refused a connection because it has enough. */
-    void refusedFull(int held, long nowMillis) {
+    void recordFull(int held, long nowMillis) {
         openAfterMillis = nowMillis + FULL_PAUSE_MILLIS;
         cappedUntilMillis = nowMillis + CAPPED_MILLIS;
         cap = Math.max(1, held);
     }
 
     /** Another process listens at the endpoint's address. */
-    void refusedForeign(long nowMillis) {
+    void recordForeignProcess(long nowMillis) {
         openAfterMillis = nowMillis + FOREIGN_PAUSE_MILLIS;
     }
 
-    void openFailed(long nowMillis) {
+    void recordOpenFailure(long nowMillis) {
         openAfterMillis = nowMillis + FAILED_PAUSE_MILLIS;
     }
 
     /** The endpoint's process is another one now. */
-    void processChanged(long nowMillis) {
+    void resetOpenDelay(long nowMillis) {
         openAfterMillis = nowMillis;
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/Work.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequest.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.pool.statement.ErrorCode;
 
 /** A statement or transaction that waits for a connection to an endpoint. */
-public interface Work {
+public interface ConnectionRequest {
 
     /** The client account that it runs for. */
     Account account();
@@ -23,7 +23,7 @@
     }
 
     /** Whether a connection of any client account serves it. */
-    default boolean anyAccount() {
+    default boolean acceptsAnyAccount() {
         return false;
     }
 
@@ -34,10 +34,10 @@
     LogPosition sessionFloor();
 
     /** Time of the monotonic clock, milliseconds, after which it is refused if no connection was assigned. */
-    long assignBeforeMillis();
+    long assignmentDeadlineMillis();
 
     /** Time for which it waits when no endpoint could run it, milliseconds. */
-    long unservableWaitMillis();
+    long unavailableWaitMillis();
 
     /**
      * Whether an endpoint has failed to run it before.
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/WorkQueue.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /** Work that waits for a connection: the most important first, equally important work in the order of its arrival. */
-final class WorkQueue {
+final class ConnectionRequestQueue {
 
-    private final List<Work> waiting = new ArrayList<>();
-    private final Map<Work, Long> sinceMillis = new HashMap<>();
+    private final List<ConnectionRequest> waiting = new ArrayList<>();
+    private final Map<ConnectionRequest, Long> sinceMillis = new HashMap<>();
 
-    void add(Work work, long nowMillis) {
+    void add(ConnectionRequest work, long nowMillis) {
         int at = waiting.size();
         while (at > 0 && waiting.get(at - 1).priority() > work.priority()) {
             at--;
@@ -21,17 +21,17 @@
     }
 
     /** Removes work and returns how long it has waited, milliseconds. */
-    long remove(Work work, long nowMillis) {
+    long remove(ConnectionRequest work, long nowMillis) {
         waiting.remove(work);
         return nowMillis - sinceMillis.remove(work);
     }
 
-    boolean contains(Work work) {
+    boolean contains(ConnectionRequest work) {
         return sinceMillis.containsKey(work);
     }
 
     /** All work, in the order in which it is served. */
-    List<Work> all() {
+    List<ConnectionRequest> all() {
         return List.copyOf(waiting);
     }
 
@@ -40,17 +40,17 @@
     }
 
     /** Removes and returns all work. */
-    List<Work> drain() {
-        List<Work> result = all();
+    List<ConnectionRequest> drain() {
+        List<ConnectionRequest> result = all();
         waiting.clear();
         sinceMillis.clear();
         return result;
     }
 
     /** Removes and returns the work whose time to be assigned has passed. */
-    List<Work> takeExpired(long nowMillis) {
-        List<Work> expired = waiting.stream()
-                .filter(work -> nowMillis >= work.assignBeforeMillis())
+    List<ConnectionRequest> removeExpired(long nowMillis) {
+        List<ConnectionRequest> expired = waiting.stream()
+                .filter(work -> nowMillis >= work.assignmentDeadlineMillis())
                 .toList();
         expired.forEach(work -> remove(work, nowMillis));
         return expired;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlWork.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
@@ -9,7 +9,7 @@
 import org.hyssopswitch.pool.statement.Reply;
 
 /** A command of the VM's own to one endpoint; it goes before all statements. */
-final class ControlWork implements Work, ReplyHandler {
+final class ControlCommandRequest implements ConnectionRequest, ReplyHandler {
 
     private static final int BEFORE_ALL = -1;
 
@@ -21,7 +21,7 @@
     private Option<PooledConnection> connection = Option.none();
     private boolean ended;
 
-    ControlWork(
+    ControlCommandRequest(
             String endpointId,
             EndpointCommand command,
             Account account,
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public boolean anyAccount() {
+    public boolean acceptsAnyAccount() {
         return true;
     }
 
@@ -70,12 +70,12 @@
     }
 
     @Override
-    public long assignBeforeMillis() {
+    public long assignmentDeadlineMillis() {
         return assignBeforeMillis;
     }
 
     @Override
-    public long unservableWaitMillis() {
+    public long unavailableWaitMillis() {
         return 0;
     }
 
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void lost() {
+    public void connectionLost() {
         end(Option.none());
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroup.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroup.java
@@ -15,13 +15,13 @@
 import org.apache.logging.log4j.Logger;
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.pool.catalog.Endpoint;
-import org.hyssopswitch.pool.catalog.Group;
+import org.hyssopswitch.pool.catalog.GroupDeclaration;
 import org.hyssopswitch.pool.statement.EndpointCommand;
 import org.hyssopswitch.pool.statement.ErrorCode;
 import org.hyssopswitch.pool.statement.Reply;
 
 /** The endpoints of one database group as this VM sees them; chooses the endpoint for each statement. */
-public final class DatabaseGroup implements PoolEvents {
+public final class DatabaseGroup implements PoolCallbacks {
 
     /** Cost of a byte-carrying hop to another data centre, as milliseconds of waiting. */
     private static final double REMOTE_PENALTY_MILLIS = 8;
@@ -63,8 +63,8 @@
     private final Map<String, EndpointPool> pools = new HashMap<>();
     private final SuspensionDetector suspensions;
     private final PositionSamples samples = new PositionSamples();
-    private final Map<Work, Long> leaderless = new LinkedHashMap<>();
-    private Group group;
+    private final Map<ConnectionRequest, Long> leaderless = new LinkedHashMap<>();
+    private GroupDeclaration group;
     private int vms;
     private int accounts;
     private boolean stopping;
@@ -77,7 +77,7 @@
     private long searchedMillis;
     private long lastSampleMillis = Long.MIN_VALUE / 2;
 
-    DatabaseGroup(Group group, GroupContext context) {
+    DatabaseGroup(GroupDeclaration group, GroupContext context) {
         this.group = group;
         this.vms = 1;
         this.dataCentre = context.dataCentre();
@@ -98,7 +98,7 @@
     }
 
     /** Its declaration. */
-    public Group declaration() {
+    public GroupDeclaration declaration() {
         return group;
     }
 
@@ -117,7 +117,7 @@
      *
      * @param endpointId the endpoint
      */
-    public boolean reaches(String endpointId) {
+    public boolean isReachable(String endpointId) {
         EndpointPool pool = pools.get(endpointId);
         return pool != null && pool.reachable();
     }
@@ -132,7 +132,7 @@
      *
      * @param work the work
      */
-    public void submit(Work work) {
+    public void submit(ConnectionRequest work) {
         if (work.pinnedTo().isDefined()) {
             submitPinned(work);
             return;
@@ -155,8 +155,8 @@
      * @param work the work, pinned to the endpoint
      * @return why no connection can be lent, or nothing
      */
-    public Option<LeaseEnd> lend(String endpointId, Work work) {
-        Option<LeaseEnd> refusal = refusal(endpointId);
+    public Option<LeaseEndReason> lend(String endpointId, ConnectionRequest work) {
+        Option<LeaseEndReason> refusal = refusal(endpointId);
         if (refusal.isEmpty()) {
             pools.get(endpointId).lend(work);
         }
@@ -168,15 +168,15 @@
      *
      * @param endpointId the endpoint
      */
-    public Option<LeaseEnd> refusal(String endpointId) {
+    public Option<LeaseEndReason> refusal(String endpointId) {
         EndpointPool pool = pools.get(endpointId);
         if (pool == null) {
-            return Option.some(LeaseEnd.NO_LENDER);
+            return Option.some(LeaseEndReason.NO_LENDER);
         }
         if (!pool.reachable()) {
-            return Option.some(LeaseEnd.UNREACHABLE);
+            return Option.some(LeaseEndReason.UNREACHABLE);
         }
-        return pool.suspect() ? Option.some(LeaseEnd.SUSPECT) : Option.none();
+        return pool.isSuspect() ? Option.some(LeaseEndReason.SUSPECT) : Option.none();
     }
 
     /**
@@ -185,10 +185,10 @@
      * @param endpointId the endpoint
      * @param listener told the answer if there is one
      */
-    public void askPosition(String endpointId, PositionListener listener) {
+    public void queryPosition(String endpointId, PositionListener listener) {
         Option<EndpointPool> pool = Option.of(pools.get(endpointId));
         if (pool.exists(EndpointPool::reachable)) {
-            pool.get().askPosition(listener);
+            pool.get().queryPosition(listener);
         } else if (pool.isDefined()) {
             listener.unreachable();
         }
@@ -201,7 +201,7 @@
      * @param limitMillis longest wait for a connection, milliseconds
      * @param done takes the status, or nothing when the endpoint gave none
      */
-    public void queryStatus(String endpointId, long limitMillis, Consumer<Option<ReplicaStatus>> done) {
+    public void queryStatus(String endpointId, long limitMillis, Consumer<Option<ReplicationStatus>> done) {
         control(endpointId, new EndpointCommand.QueryStatus(), limitMillis, done);
     }
 
@@ -213,7 +213,7 @@
      * @param limitMillis longest wait for a connection, milliseconds
      * @param done takes the status afterwards, or nothing when the endpoint gave none
      */
-    public void stepDown(String endpointId, long term, long limitMillis, Consumer<Option<ReplicaStatus>> done) {
+    public void stepDown(String endpointId, long term, long limitMillis, Consumer<Option<ReplicationStatus>> done) {
         control(endpointId, new EndpointCommand.StepDown(term), limitMillis, done);
     }
 
@@ -222,8 +222,8 @@
      *
      * @param endpointId the endpoint
      */
-    public void yieldConnections(String endpointId) {
-        Option.of(pools.get(endpointId)).forEach(EndpointPool::yieldExtra);
+    public void releaseSurplusConnections(String endpointId) {
+        Option.of(pools.get(endpointId)).forEach(EndpointPool::releaseSurplus);
     }
 
     /**
@@ -232,7 +232,7 @@
      * @param work the work; it is not submitted
      * @param evict whether an unused connection of another account may be closed for it
      */
-    public void prefetch(Work work, boolean evict) {
+    public void prefetch(ConnectionRequest work, boolean evict) {
         Option<EndpointPool> pool = work.primaryOnly() ? primaryPool() : readPool(work);
         pool.forEach(placed -> placed.prefetch(work.account(), evict));
     }
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void provenPrimary(String endpointId, long askedMillis, LogPosition position) {
+    public void primaryConfirmed(String endpointId, long askedMillis, LogPosition position) {
         checkSuspension();
         boolean newer = position.term() > samples.term();
         if (position.term() >= samples.term()) {
@@ -280,19 +280,19 @@
     }
 
     @Override
-    public Option<LogPosition> floor(Work work) {
+    public Option<LogPosition> readFloor(ConnectionRequest work) {
         checkSuspension();
         long staleness = Math.max(0, work.stalenessMillis() - STALENESS_MARGIN_MILLIS);
         return samples.floor(clock.getAsLong(), staleness)
-                .map(floor -> floor.max(samples.translate(work.sessionFloor())));
+                .map(floor -> floor.max(samples.toLatestTerm(work.sessionFloor())));
     }
 
     @Override
-    public void requeue(Work work) {
+    public void requeue(ConnectionRequest work) {
         submit(work);
     }
 
-    void update(Group declared, Sharing sharing, Collection<Endpoint> listed) {
+    void update(GroupDeclaration declared, SharerCounts sharing, Collection<Endpoint> listed) {
         group = declared;
         vms = sharing.vms();
         accounts = sharing.accounts();
@@ -318,7 +318,7 @@
     void tick() {
         long now = clock.getAsLong();
         if (now - tickedMillis > PAUSE_MILLIS) {
-            pools.values().forEach(EndpointPool::ignoreSilence);
+            pools.values().forEach(EndpointPool::resetLastContact);
         }
         tickedMillis = now;
         List.copyOf(pools.values()).forEach(EndpointPool::tick);
@@ -327,7 +327,7 @@
         } else {
             findPrimary(now);
         }
-        for (Work work : List.copyOf(leaderless.keySet())) {
+        for (ConnectionRequest work : List.copyOf(leaderless.keySet())) {
             if (now >= leaderless.get(work)) {
                 leaderless.remove(work);
                 work.refused(ErrorCode.OVERLOADED, "group " + name() + " has no reachable primary");
@@ -348,9 +348,9 @@
 
     /** Ages of positions are unknown once the clock may have stood still. */
     private void checkSuspension() {
-        if (suspensions.suspended()) {
+        if (suspensions.detectSuspension()) {
             LOG.warn("event=positions_forgotten group={} cause=suspension_or_clock_step term={}", name(), term());
-            samples.forgetAges(clock.getAsLong());
+            samples.discardSamples(clock.getAsLong());
         }
     }
 
@@ -384,7 +384,7 @@
         return PoolLimits.of(group.maxConnections(), vms, localVms, accounts);
     }
 
-    private void submitPinned(Work work) {
+    private void submitPinned(ConnectionRequest work) {
         String endpointId = work.pinnedTo().get();
         if (refusal(endpointId).isEmpty()) {
             pools.get(endpointId).offer(work);
@@ -394,9 +394,9 @@
     }
 
     private void control(
-            String endpointId, EndpointCommand command, long limitMillis, Consumer<Option<ReplicaStatus>> done) {
+            String endpointId, EndpointCommand command, long limitMillis, Consumer<Option<ReplicationStatus>> done) {
         Option.of(pools.get(endpointId))
-                .peek(pool -> pool.control(
+                .peek(pool -> pool.sendControl(
                         command,
                         limitMillis,
                         reply -> done.accept(reply.filter(Reply::succeeded)
@@ -412,7 +412,7 @@
         if (primaryId.contains(id)) {
             primaryId = Option.none();
         }
-        List<Work> waiting = pool.drainWaiting();
+        List<ConnectionRequest> waiting = pool.drainWaiting();
         pool.closeIdle();
         waiting.forEach(this::submit);
     }
@@ -447,7 +447,7 @@
     }
 
     private void resubmitWaiting() {
-        List<Work> work = List.copyOf(leaderless.keySet());
+        List<ConnectionRequest> work = List.copyOf(leaderless.keySet());
         leaderless.clear();
         work.forEach(this::submit);
     }
@@ -456,15 +456,15 @@
         return primaryId.flatMap(id -> Option.of(pools.get(id))).filter(EndpointPool::usable);
     }
 
-    private Option<EndpointPool> readPool(Work work) {
-        boolean sampled = floor(work).isDefined();
+    private Option<EndpointPool> readPool(ConnectionRequest work) {
+        boolean sampled = readFloor(work).isDefined();
         Option<EndpointPool> best = Option.ofOptional(readable(work)
                 .filter(pool -> sampled || isPrimary(pool.endpoint().id()))
                 .min(Comparator.comparingDouble(pool -> cost(pool, work))));
         return best.orElse(this::primaryPool);
     }
 
-    private Stream<EndpointPool> readable(Work work) {
+    private Stream<EndpointPool> readable(ConnectionRequest work) {
         boolean settled = pools.values().stream()
                 .anyMatch(pool -> pool.usable() && !pool.endpoint().draining());
         return pools.values().stream()
@@ -473,7 +473,7 @@
                         && !(settled && pool.endpoint().draining()));
     }
 
-    private double cost(EndpointPool pool, Work work) {
+    private double cost(EndpointPool pool, ConnectionRequest work) {
         boolean remote = !pool.endpoint().dataCentre().equals(dataCentre);
         boolean primary = isPrimary(pool.endpoint().id());
         return pool.expectedMillis(work.account())
@@ -481,8 +481,8 @@
                 + (primary ? PRIMARY_PENALTY_MILLIS : 0);
     }
 
-    private void waitForPrimary(Work work) {
-        long until = Math.min(usableMillis + work.unservableWaitMillis(), work.assignBeforeMillis());
+    private void waitForPrimary(ConnectionRequest work) {
+        long until = Math.min(usableMillis + work.unavailableWaitMillis(), work.assignmentDeadlineMillis());
         if (clock.getAsLong() >= until) {
             work.refused(ErrorCode.OVERLOADED, "group " + name() + " has no reachable primary");
         } else {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/Groups.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroups.java
@@ -10,7 +10,7 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 
 /** All database groups of the configuration in force. */
-public final class Groups {
+public final class DatabaseGroups {
 
     private final GroupContext context;
     private final Map<String, DatabaseGroup> groups = new HashMap<>();
@@ -20,7 +20,7 @@
      *
      * @param context what all groups use
      */
-    public Groups(GroupContext context) {
+    public DatabaseGroups(GroupContext context) {
         this.context = context;
     }
 
@@ -36,7 +36,7 @@
                 .map(Account::name)
                 .distinct()
                 .count();
-        Sharing sharing = new Sharing(vms, accounts);
+        SharerCounts sharing = new SharerCounts(vms, accounts);
         catalog.groups().values().forEach(declared -> groups.computeIfAbsent(
                         declared.name(), name -> new DatabaseGroup(declared, context))
                 .update(declared, sharing, members(endpoints, declared.name())));
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointLink.java
@@ -52,6 +52,6 @@
          *
          * @param reason why
          */
-        void leaseEnded(LeaseEnd reason);
+        void leaseEnded(LeaseEndReason reason);
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
@@ -56,10 +56,10 @@
 
     private final EndpointConnector connector;
     private final LeaseSource leases;
-    private final PoolEvents events;
+    private final PoolCallbacks events;
     private final LongSupplier clock;
     private final List<PooledConnection> connections = new ArrayList<>();
-    private final WorkQueue waiting = new WorkQueue();
+    private final ConnectionRequestQueue waiting = new ConnectionRequestQueue();
     private final PoolCounters counters = new PoolCounters();
     private final LatencyEstimates estimates = new LatencyEstimates();
     private final ConnectionBudget budget;
@@ -74,7 +74,7 @@
     private boolean pumping;
     private Account lastAccount = Account.ANONYMOUS;
 
-    EndpointPool(Endpoint endpoint, PoolLimits limits, GroupContext context, PoolEvents events) {
+    EndpointPool(Endpoint endpoint, PoolLimits limits, GroupContext context, PoolCallbacks events) {
         this.endpoint = endpoint;
         this.budget = new ConnectionBudget(limits);
         this.connector = context.connector();
@@ -90,7 +90,7 @@
         return endpoint;
     }
 
-    PoolEvents events() {
+    PoolCallbacks events() {
         return events;
     }
 
@@ -104,24 +104,26 @@
 
     /** Takes a changed entry; connections to an earlier process are closed. */
     void update(Endpoint changed, PoolLimits changedLimits) {
-        boolean same = endpoint.sameProcess(changed);
+        boolean same = endpoint.isSameProcess(changed);
         endpoint = changed;
         drainingSinceMillis = changed.draining() ? drainingSinceMillis.orElse(Option.some(nowMillis())) : Option.none();
         budget.update(changedLimits);
         if (!same) {
             List.copyOf(connections).forEach(PooledConnection::discard);
-            budget.processChanged(nowMillis());
+            budget.resetOpenDelay(nowMillis());
             markReachable();
         }
     }
 
     /** Whether new work may be given to the endpoint. */
     boolean usable() {
-        return reachable && !suspect() && !drainingSinceMillis.exists(since -> nowMillis() - since > DRAIN_USE_MILLIS);
+        return reachable
+                && !isSuspect()
+                && !drainingSinceMillis.exists(since -> nowMillis() - since > DRAIN_USE_MILLIS);
     }
 
     /** Whether the endpoint has been silent for a while. */
-    boolean suspect() {
+    boolean isSuspect() {
         return suspect || nowMillis() < suspectUntilMillis;
     }
 
@@ -140,14 +142,14 @@
         return opening + queued + busy + service + cold;
     }
 
-    void offer(Work work) {
+    void offer(ConnectionRequest work) {
         waiting.add(work, nowMillis());
-        pump();
+        dispatch();
     }
 
     /** Queues work of another VM, for which connections are kept from now on. */
-    void lend(Work work) {
-        budget.lending(nowMillis());
+    void lend(ConnectionRequest work) {
+        budget.recordLending(nowMillis());
         offer(work);
     }
 
@@ -161,7 +163,7 @@
     }
 
     /** Takes back all work that waits. */
-    List<Work> drainWaiting() {
+    List<ConnectionRequest> drainWaiting() {
         return waiting.drain();
     }
 
@@ -176,7 +178,7 @@
                 connections.size() - directCount(),
                 waiting.size(),
                 Math.round(estimates.serviceMillis()),
-                counters.takeReport());
+                counters.reportAndReset());
     }
 
     /** Closes connections that are not lent. */
@@ -186,7 +188,7 @@
 
     void tick() {
         long now = nowMillis();
-        waiting.takeExpired(now)
+        waiting.removeExpired(now)
                 .forEach(work -> work.refused(
                         ErrorCode.OVERLOADED, "no connection to " + endpoint.id() + " became free in time"));
         checkSilence(now);
@@ -195,23 +197,23 @@
             probe(now);
         }
         sampler.tick();
-        pump();
+        dispatch();
     }
 
     /** Asks whether the endpoint is the primary and for its position. */
     void samplePrimary() {
-        if (!borrows() || !leases.askPosition(endpoint, new SampleReport(nowMillis()))) {
+        if (!borrows() || !leases.queryPosition(endpoint, new SampleReport(nowMillis()))) {
             sampler.sample();
         }
     }
 
     /** Answers another VM's question whether the endpoint is the primary. */
-    void askPosition(PositionListener listener) {
-        sampler.ask(listener);
+    void queryPosition(PositionListener listener) {
+        sampler.query(listener);
     }
 
     /** A connection that is not lent and leads straight to the endpoint; one is opened when there is none. */
-    Option<PooledConnection> idleOrOpen() {
+    Option<PooledConnection> findIdleOrOpen() {
         Option<PooledConnection> idle =
                 Option.ofOptional(direct().filter(PooledConnection::idle).findFirst());
         if (idle.isEmpty()) {
@@ -221,7 +223,7 @@
     }
 
     /** Assigns connections to waiting work and opens what is missing. */
-    void pump() {
+    void dispatch() {
         if (pumping) {
             return;
         }
@@ -239,7 +241,7 @@
         connections.remove(connection);
     }
 
-    void heard() {
+    void recordContact() {
         lastHeardMillis = nowMillis();
         suspect = false;
         suspectUntilMillis = lastHeardMillis;
@@ -247,42 +249,42 @@
     }
 
     /** This VM did not run for a while, so the silence of endpoints says nothing. */
-    void ignoreSilence() {
+    void resetLastContact() {
         lastHeardMillis = nowMillis();
     }
 
-    void openedAfter(long millis) {
-        counters.opened(millis);
-        estimates.opened(millis);
+    void recordOpened(long millis) {
+        counters.recordOpened(millis);
+        estimates.recordOpen(millis);
     }
 
-    void leasedAfter(long millis) {
-        counters.leased(millis);
-        estimates.leased(millis, nowMillis());
+    void recordLeased(long millis) {
+        counters.recordLeased(millis);
+        estimates.recordLease(millis, nowMillis());
     }
 
-    void servedIn(long millis) {
-        estimates.served(millis);
+    void recordServiceTime(long millis) {
+        estimates.recordService(millis);
     }
 
     void openRefused(ErrorCode code) {
-        counters.openRefused();
+        counters.recordOpenRefused();
         long now = nowMillis();
         if (code == ErrorCode.TOO_MANY_CONNECTIONS) {
-            heard();
-            budget.refusedFull(directCount(), now);
+            recordContact();
+            budget.recordFull(directCount(), now);
             if (directCount() < budget.guaranteed()) {
                 events.connectionShortage(endpoint.id());
             }
         } else {
-            budget.refusedForeign(now);
+            budget.recordForeignProcess(now);
             markUnreachable("refused_" + code);
         }
     }
 
     void connectionFailed(boolean opening) {
         if (opening) {
-            budget.openFailed(nowMillis());
+            budget.recordOpenFailure(nowMillis());
             markUnreachable("connect_failed");
         } else if (reachable) {
             // A crash breaks all connections; a new one tells it from the loss of single ones.
@@ -291,7 +293,7 @@
     }
 
     /** A connection of another VM was not lent, or no longer. */
-    void leaseEnded(Account account, boolean opening, LeaseEnd reason) {
+    void leaseEnded(Account account, boolean opening, LeaseEndReason reason) {
         switch (reason) {
             case OVERLOADED -> {
                 if (opening) {
@@ -303,13 +305,13 @@
                 drainWaiting().forEach(events::requeue);
             }
             case UNREACHABLE -> markUnreachable("lender_does_not_reach_it");
-            default -> pump();
+            default -> dispatch();
         }
     }
 
     /** Sends a command of the VM's own; the answer is missing when no connection is available in time. */
-    void control(EndpointCommand command, long limitMillis, Consumer<Option<Reply>> done) {
-        offer(new ControlWork(endpoint.id(), command, lastAccount, nowMillis() + limitMillis, done));
+    void sendControl(EndpointCommand command, long limitMillis, Consumer<Option<Reply>> done) {
+        offer(new ControlCommandRequest(endpoint.id(), command, lastAccount, nowMillis() + limitMillis, done));
     }
 
     /** Closes connections as soon as they are unused, for the VMs that take over. */
@@ -318,8 +320,8 @@
     }
 
     /** Closes what this VM holds beyond its guaranteed share and does not use. */
-    void yieldExtra() {
-        budget.yieldExtra(nowMillis());
+    void releaseSurplus() {
+        budget.limitToGuaranteed(nowMillis());
     }
 
     private Stream<PooledConnection> direct() {
@@ -336,35 +338,35 @@
     }
 
     private int kept(long now) {
-        return budget.kept(leases.role(endpoint) == LeaseRole.LENDER, now);
+        return budget.targetSize(leases.role(endpoint) == LeaseRole.LENDER, now);
     }
 
     private void assignIdle() {
-        for (Work work : waiting.all()) {
+        for (ConnectionRequest work : waiting.all()) {
             Option<PooledConnection> idle = Option.ofOptional(connections.stream()
                     .filter(c -> c.idle() && c.serves(work))
-                    .max(Comparator.comparingLong(PooledConnection::sinceMillis)));
+                    .max(Comparator.comparingLong(PooledConnection::stateSinceMillis)));
             idle.filter(connection -> waiting.contains(work)).forEach(connection -> assign(work, connection));
         }
     }
 
-    private void assign(Work work, PooledConnection connection) {
+    private void assign(ConnectionRequest work, PooledConnection connection) {
         long waitedMillis = waiting.remove(work, nowMillis());
         boolean pinned = work.pinnedTo().isDefined();
-        Option<LogPosition> floor = work.primaryOnly() || pinned ? Option.none() : events.floor(work);
+        Option<LogPosition> floor = work.primaryOnly() || pinned ? Option.none() : events.readFloor(work);
         if (floor.isEmpty() && !pinned && !events.isPrimary(endpoint.id())) {
             events.requeue(work);
             return;
         }
-        counters.assigned(waitedMillis);
-        connection.lend();
+        counters.recordAssigned(waitedMillis);
+        connection.markLent();
         work.assigned(connection, floor);
     }
 
     private void openMissing() {
         long now = nowMillis();
         Map<Demand, Integer> demand = new HashMap<>();
-        for (Work work : waiting.all()) {
+        for (ConnectionRequest work : waiting.all()) {
             boolean pinned = work.pinnedTo().isDefined();
             int missing = demand.merge(new Demand(work.account().name(), pinned), 1, Integer::sum);
             long opening = connections.stream()
@@ -376,16 +378,16 @@
         }
     }
 
-    private boolean borrow(Work work, long now) {
+    private boolean borrow(ConnectionRequest work, long now) {
         if (work.pinnedTo().isDefined() || !borrows()) {
             return false;
         }
         PooledConnection connection = new PooledConnection(this, work.account(), now);
-        Option<BorrowedLink> lent =
-                leases.borrow(endpoint, work.account(), work.priority(), work.assignBeforeMillis() - now, connection);
+        Option<BorrowedLink> lent = leases.borrow(
+                endpoint, work.account(), work.priority(), work.assignmentDeadlineMillis() - now, connection);
         lent.forEach(link -> {
             connections.add(connection);
-            connection.start(link);
+            connection.attach(link);
         });
         return lent.isDefined();
     }
@@ -408,12 +410,12 @@
     }
 
     private void refuseLast(Account account) {
-        List<Work> ofAccount = waiting.all().stream()
+        List<ConnectionRequest> ofAccount = waiting.all().stream()
                 .filter(work ->
                         work.pinnedTo().isEmpty() && work.account().name().equals(account.name()))
                 .toList();
         if (!ofAccount.isEmpty()) {
-            Work last = ofAccount.get(ofAccount.size() - 1);
+            ConnectionRequest last = ofAccount.get(ofAccount.size() - 1);
             waiting.remove(last, nowMillis());
             last.refused(ErrorCode.OVERLOADED, "more waits for endpoint " + endpoint.id() + " than it can serve");
         }
@@ -424,14 +426,14 @@
         if (directCount() < kept(now)) {
             return true;
         }
-        Option<PooledConnection> oldest = Option.ofOptional(
-                direct().filter(PooledConnection::idle).min(Comparator.comparingLong(PooledConnection::sinceMillis)));
+        Option<PooledConnection> oldest = Option.ofOptional(direct().filter(PooledConnection::idle)
+                .min(Comparator.comparingLong(PooledConnection::stateSinceMillis)));
         if (oldest.isDefined()) {
             oldest.get().discard();
-            counters.evicted();
+            counters.recordEvicted();
             return true;
         }
-        return directCount() < budget.most(now);
+        return directCount() < budget.maxSize(now);
     }
 
     /** Finds out whether the endpoint accepts connections. */
@@ -446,12 +448,12 @@
         lastAccount = account;
         PooledConnection connection = new PooledConnection(this, account, now);
         connections.add(connection);
-        connection.start(connector.open(endpoint, account, connection));
+        connection.attach(connector.open(endpoint, account, connection));
     }
 
     private void checkSilence(long now) {
         Option<Long> since = Option.ofOptional(
-                direct().flatMap(c -> c.waitingSinceMillis().toJavaStream()).min(Comparator.naturalOrder()));
+                direct().flatMap(c -> c.unansweredSinceMillis().toJavaStream()).min(Comparator.naturalOrder()));
         long silence = since.map(from -> now - Math.max(from, lastHeardMillis)).getOrElse(0L);
         if (silence > ASK_AFTER_MILLIS && now - askedMillis > ASK_AFTER_MILLIS) {
             askedMillis = now;
@@ -463,7 +465,7 @@
         }
         if (silence > SILENCE_MILLIS) {
             markUnreachable("silent");
-            direct().filter(c -> c.opening() && now - c.sinceMillis() > SILENCE_MILLIS)
+            direct().filter(c -> c.opening() && now - c.stateSinceMillis() > SILENCE_MILLIS)
                     .toList()
                     .forEach(PooledConnection::discard);
         }
@@ -474,7 +476,7 @@
         for (PooledConnection connection : direct().toList()) {
             boolean extra = directCount() > kept;
             long limit = extra ? EXTRA_IDLE_MILLIS : IDLE_MILLIS;
-            if (connection.idle() && now - connection.sinceMillis() > limit) {
+            if (connection.idle() && now - connection.stateSinceMillis() > limit) {
                 connection.discard();
             }
         }
@@ -497,7 +499,7 @@
                     endpoint.group(),
                     cause,
                     nowMillis() - lastHeardMillis);
-            sampler.unreachable();
+            sampler.notifyUnreachable();
             events.reachabilityChanged(endpoint.id(), false);
             drainWaiting().forEach(events::requeue);
         }
@@ -515,8 +517,8 @@
         }
 
         @Override
-        public void proven(LogPosition position) {
-            events.provenPrimary(endpoint.id(), askedAtMillis, position);
+        public void primaryConfirmed(LogPosition position) {
+            events.primaryConfirmed(endpoint.id(), askedAtMillis, position);
         }
 
         @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LatencyEstimates.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LatencyEstimates.java
@@ -28,15 +28,15 @@
         return leaseMillis * Math.exp((leasedMillis - nowMillis) / LEASE_DECAY_MILLIS);
     }
 
-    void served(long millis) {
+    void recordService(long millis) {
         serviceMillis += SMOOTHING * (millis - serviceMillis);
     }
 
-    void opened(long millis) {
+    void recordOpen(long millis) {
         openMillis += SMOOTHING * (millis - openMillis);
     }
 
-    void leased(long millis, long nowMillis) {
+    void recordLease(long millis, long nowMillis) {
         leaseMillis += SMOOTHING * (millis - leaseMillis);
         leasedMillis = nowMillis;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseEnd.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseEndReason.java
@@ -1,7 +1,7 @@
 package org.hyssopswitch.pool.endpoint;
 
 /** Why a VM does not lend a connection, or lends it no longer. */
-public enum LeaseEnd {
+public enum LeaseEndReason {
 
     /** More work waits for the endpoint than can be served in time. */
     OVERLOADED,
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseSource.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseSource.java
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public boolean askPosition(Endpoint endpoint, PositionListener listener) {
+        public boolean queryPosition(Endpoint endpoint, PositionListener listener) {
             return false;
         }
     };
@@ -58,5 +58,5 @@
      * @param listener told the answer if one arrives
      * @return false when no other VM is to be asked
      */
-    boolean askPosition(Endpoint endpoint, PositionListener listener);
+    boolean queryPosition(Endpoint endpoint, PositionListener listener);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolEvents.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCallbacks.java
@@ -4,10 +4,10 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /** What a pool learns that concerns its whole group. */
-interface PoolEvents {
+interface PoolCallbacks {
 
     /** An endpoint answered what only a primary answers. */
-    void provenPrimary(String endpointId, long askedMillis, LogPosition position);
+    void primaryConfirmed(String endpointId, long askedMillis, LogPosition position);
 
     /** An endpoint refused what only a primary accepts. */
     void notPrimary(String endpointId);
@@ -22,8 +22,8 @@
     boolean isPrimary(String endpointId);
 
     /** The position that a read must ask for; nothing when no recent enough position of the primary is known. */
-    Option<LogPosition> floor(Work work);
+    Option<LogPosition> readFloor(ConnectionRequest work);
 
     /** Work could not be run by this endpoint and needs another one. */
-    void requeue(Work work);
+    void requeue(ConnectionRequest work);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCounters.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCounters.java
@@ -12,31 +12,31 @@
     private long openRefused;
     private long evicted;
 
-    void assigned(long afterMillis) {
+    void recordAssigned(long afterMillis) {
         assigned++;
         waitedMillis += afterMillis;
     }
 
-    void opened(long afterMillis) {
+    void recordOpened(long afterMillis) {
         opened++;
         openMillis += afterMillis;
     }
 
-    void leased(long afterMillis) {
+    void recordLeased(long afterMillis) {
         leased++;
         leaseMillis += afterMillis;
     }
 
-    void openRefused() {
+    void recordOpenRefused() {
         openRefused++;
     }
 
-    void evicted() {
+    void recordEvicted() {
         evicted++;
     }
 
     /** Writes the counters as fields of a log line and starts again at zero. */
-    String takeReport() {
+    String reportAndReset() {
         String report = "assigned=" + assigned + " wait_ms_mean=" + mean(waitedMillis, assigned) + " opened=" + opened
                 + " open_ms_mean=" + mean(openMillis, opened) + " leased=" + leased + " lease_ms_mean="
                 + mean(leaseMillis, leased)
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
@@ -48,9 +48,9 @@
      * @param wanted the session's values
      * @param shape the prepared statement to execute next
      */
-    public void adopt(Map<String, String> wanted, Option<PreparedShape> shape) {
+    public void applySession(Map<String, String> wanted, Option<PreparedShape> shape) {
         if (link instanceof BorrowedLink borrowed) {
-            borrowed.adopt(wanted, shape);
+            borrowed.applySession(wanted, shape);
             return;
         }
         List<EndpointCommand> commands = new ArrayList<>();
@@ -76,7 +76,7 @@
      */
     public void send(EndpointCommand command, ReplyHandler handler) {
         if (state == State.CLOSED) {
-            handler.lost();
+            handler.connectionLost();
             return;
         }
         boolean timed = command instanceof EndpointCommand.Forward || command instanceof EndpointCommand.Execute;
@@ -85,7 +85,7 @@
     }
 
     /** Forgets which statements are prepared, after the endpoint said that it does not know one. */
-    public void forgetPrepared() {
+    public void clearPrepared() {
         prepared.clear();
     }
 
@@ -95,12 +95,12 @@
      * @param askedMillis when the question was sent, milliseconds of the monotonic clock
      * @param position the position
      */
-    public void provenPrimary(long askedMillis, LogPosition position) {
-        pool.events().provenPrimary(pool.endpoint().id(), askedMillis, position);
+    public void reportPrimary(long askedMillis, LogPosition position) {
+        pool.events().primaryConfirmed(pool.endpoint().id(), askedMillis, position);
     }
 
     /** Reports that the endpoint refused what only a primary accepts. */
-    public void notPrimary() {
+    public void reportNotPrimary() {
         pool.events().notPrimary(pool.endpoint().id());
     }
 
@@ -123,18 +123,18 @@
     @Override
     public void opened(Option<LogPosition> position) {
         if (direct()) {
-            pool.heard();
+            pool.recordContact();
         }
         if (state == State.OPENING) {
             long tookMillis = pool.nowMillis() - sinceMillis;
             if (direct()) {
-                pool.openedAfter(tookMillis);
+                pool.recordOpened(tookMillis);
             } else {
-                pool.leasedAfter(tookMillis);
+                pool.recordLeased(tookMillis);
             }
             state = State.IDLE;
             sinceMillis = pool.nowMillis();
-            pool.pump();
+            pool.dispatch();
         }
     }
 
@@ -149,7 +149,7 @@
 
     @Override
     public void replied(Reply reply) {
-        pool.heard();
+        pool.recordContact();
         Pending first = pending.pollFirst();
         if (first == null) {
             discard();
@@ -157,7 +157,7 @@
         }
         status = reply.status();
         if (first.timed()) {
-            pool.servedIn(pool.nowMillis() - first.sentMillis());
+            pool.recordServiceTime(pool.nowMillis() - first.sentMillis());
         }
         first.handler().replied(reply);
         settle();
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void leaseEnded(LeaseEnd reason) {
+    public void leaseEnded(LeaseEndReason reason) {
         if (state == State.CLOSED) {
             return;
         }
@@ -192,12 +192,12 @@
         return account.name().equals(other.name());
     }
 
-    boolean serves(Work work) {
+    boolean serves(ConnectionRequest work) {
         boolean pinned = work.pinnedTo().isDefined();
-        return (direct() || !pinned) && (work.anyAccount() || serves(work.account()));
+        return (direct() || !pinned) && (work.acceptsAnyAccount() || serves(work.account()));
     }
 
-    void start(EndpointLink opened) {
+    void attach(EndpointLink opened) {
         link = opened;
     }
 
@@ -213,19 +213,19 @@
         return state == State.OPENING;
     }
 
-    long sinceMillis() {
+    long stateSinceMillis() {
         return sinceMillis;
     }
 
     /** Time since when the oldest unanswered command or the opening waits; nothing when none does. */
-    Option<Long> waitingSinceMillis() {
+    Option<Long> unansweredSinceMillis() {
         if (state == State.OPENING) {
             return Option.some(sinceMillis);
         }
         return Option.of(pending.peekFirst()).map(Pending::sentMillis);
     }
 
-    void lend() {
+    void markLent() {
         state = State.LENT;
         sinceMillis = pool.nowMillis();
     }
@@ -240,7 +240,7 @@
         }
         state = State.IDLE;
         sinceMillis = pool.nowMillis();
-        pool.pump();
+        pool.dispatch();
     }
 
     private void end() {
@@ -248,7 +248,7 @@
         pool.remove(this);
         List<Pending> lost = List.copyOf(pending);
         pending.clear();
-        lost.forEach(one -> one.handler().lost());
+        lost.forEach(one -> one.handler().connectionLost());
     }
 
     private enum State {
@@ -277,7 +277,7 @@
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             // The handler of the statement that follows reports the loss.
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionListener.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionListener.java
@@ -10,7 +10,7 @@
      *
      * @param position its log position after the question was asked
      */
-    void proven(LogPosition position);
+    void primaryConfirmed(LogPosition position);
 
     /** The endpoint is a replica. */
     void notPrimary();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionSamples.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionSamples.java
@@ -54,7 +54,7 @@
      *
      * @param nowMillis milliseconds of the monotonic clock; samples asked for earlier are ignored from now on
      */
-    void forgetAges(long nowMillis) {
+    void discardSamples(long nowMillis) {
         samples.clear();
         validFromMillis = nowMillis;
     }
@@ -90,7 +90,7 @@
      *
      * @param floor the position
      */
-    LogPosition translate(LogPosition floor) {
+    LogPosition toLatestTerm(LogPosition floor) {
         return floor.term() < term() ? termStart.get() : floor;
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
@@ -27,7 +27,7 @@
     }
 
     /** Asks on behalf of a listener. */
-    void ask(PositionListener listener) {
+    void query(PositionListener listener) {
         listeners.addLast(listener);
         if (listeners.size() > MAX_LISTENERS) {
             listeners.removeFirst();
@@ -43,7 +43,7 @@
     }
 
     /** The endpoint cannot be reached. */
-    void unreachable() {
+    void notifyUnreachable() {
         List<PositionListener> told = List.copyOf(listeners);
         listeners.clear();
         told.forEach(PositionListener::unreachable);
@@ -51,10 +51,10 @@
 
     /** Sends the question if a connection is at hand. */
     void sample() {
-        pool.idleOrOpen().forEach(connection -> {
+        pool.findIdleOrOpen().forEach(connection -> {
             List<PositionListener> told = List.copyOf(listeners);
             listeners.clear();
-            connection.lend();
+            connection.markLent();
             connection.send(
                     new EndpointCommand.Begin(false, Option.none()),
                     new SampleReply(connection, pool.nowMillis(), told));
@@ -68,19 +68,19 @@
         public void replied(Reply reply) {
             if (reply.succeeded()) {
                 reply.position().forEach(position -> {
-                    connection.provenPrimary(askedMillis, position);
-                    told.forEach(listener -> listener.proven(position));
+                    connection.reportPrimary(askedMillis, position);
+                    told.forEach(listener -> listener.primaryConfirmed(position));
                 });
                 connection.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
             } else if (reply.error().contains(ErrorCode.READ_ONLY)) {
-                connection.notPrimary();
+                connection.reportNotPrimary();
                 told.forEach(PositionListener::notPrimary);
             }
             connection.release();
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             // The pool counts the failure of the connection, and whoever asked asks again.
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplicaStatus.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplicationStatus.java
@@ -9,4 +9,4 @@
  * @param term the latest term it knows
  * @param received the log position that it has received, applied or not
  */
-public record ReplicaStatus(boolean primary, long term, LogPosition received) {}
+public record ReplicationStatus(boolean primary, long term, LogPosition received) {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplyHandler.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplyHandler.java
@@ -13,7 +13,7 @@
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             // The holder of the connection is told by the handler of its own statement.
         }
     };
@@ -26,5 +26,5 @@
     void replied(Reply reply);
 
     /** The connection ended without an answer. */
-    void lost();
+    void connectionLost();
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/StatusDecoder.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/StatusDecoder.java
@@ -12,5 +12,5 @@
      * @param row the row
      * @return the status, or nothing when the row cannot be read
      */
-    Option<ReplicaStatus> decode(String row);
+    Option<ReplicationStatus> decode(String row);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SuspensionDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SuspensionDetector.java
@@ -24,7 +24,7 @@
     }
 
     /** Whether the VM may have been suspended since this method last returned true. */
-    boolean suspended() {
+    boolean detectSuspension() {
         long difference = timeOfDayMillis.getAsLong() - monotonicMillis.getAsLong();
         if (Math.abs(difference - differenceMillis) <= TOLERANCE_MILLIS) {
             return false;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/DutyRecord.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/LeadershipRecord.java
@@ -7,18 +7,18 @@
  * @param epoch grows by one with each change of the holder or of its process
  * @param promotions number of promotions ordered in the epoch; makes each order visible to a VM that is about to take over
  */
-public record DutyRecord(String holder, long epoch, long promotions) {
+public record LeadershipRecord(String holder, long epoch, long promotions) {
 
     /** Fencing tokens of one epoch, so that a holder can order promotions while the store is away. */
     static final long TOKENS_PER_EPOCH = 100_000;
 
     /** The fencing token of the latest promotion. */
-    long token() {
+    long fencingToken() {
         return epoch * TOKENS_PER_EPOCH + promotions;
     }
 
     /** The record after a number of promotions. */
-    DutyRecord withPromotions(long count) {
-        return new DutyRecord(holder, epoch, count);
+    LeadershipRecord withPromotions(long count) {
+        return new LeadershipRecord(holder, epoch, count);
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionSystem.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PrimaryFailover.java
@@ -7,16 +7,16 @@
 import org.hyssopswitch.core.message.PeerMessage;
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.endpoint.DatabaseGroup;
-import org.hyssopswitch.pool.endpoint.Groups;
-import org.hyssopswitch.pool.peer.DutyPing;
-import org.hyssopswitch.pool.peer.DutyPong;
+import org.hyssopswitch.pool.endpoint.DatabaseGroups;
+import org.hyssopswitch.pool.peer.LeadershipPing;
+import org.hyssopswitch.pool.peer.LeadershipPong;
 import org.hyssopswitch.pool.peer.PeerLinks;
-import org.hyssopswitch.pool.peer.PrimaryReport;
+import org.hyssopswitch.pool.peer.PrimaryUnreachableReport;
 import org.hyssopswitch.pool.store.ObjectTable;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /** Finds groups that need another primary and, on the VM that holds the duty, has one promoted. */
-public final class PromotionSystem {
+public final class PrimaryFailover {
 
     /** Time for which a primary must be unusable before it is replaced, milliseconds: restarts of links are shorter. */
     private static final long CONFIRM_MILLIS = 100;
@@ -34,13 +34,13 @@
     private static final double CUT_OFF_PART = 0.34;
 
     private final String self;
-    private final Groups groups;
+    private final DatabaseGroups groups;
     private final PromotionAuthority authority;
     private final DecisionLoop loop;
-    private final DutyKeeper duty;
-    private final PrimaryReports reports = new PrimaryReports();
+    private final PromotionLeaderElection duty;
+    private final UnreachabilityReports reports = new UnreachabilityReports();
     private final Map<String, Long> unusableSinceMillis = new HashMap<>();
-    private final Map<String, PromotionRun> runs = new HashMap<>();
+    private final Map<String, ReplicaPromotion> runs = new HashMap<>();
     private PeerLinks peers;
     private int vms = 1;
     private long reportedMillis;
@@ -56,11 +56,11 @@
      * @param random source of jitter
      * @param peers the other VMs
      */
-    public PromotionSystem(
+    public PrimaryFailover(
             String self,
-            Groups groups,
+            DatabaseGroups groups,
             PromotionAuthority authority,
-            ObjectTable<DutyRecord> table,
+            ObjectTable<LeadershipRecord> table,
             DecisionLoop loop,
             RandomGenerator random,
             PeerLinks peers) {
@@ -68,7 +68,7 @@
         this.groups = groups;
         this.authority = authority;
         this.loop = loop;
-        this.duty = new DutyKeeper(self, table, loop, random, peers);
+        this.duty = new PromotionLeaderElection(self, table, loop, random, peers);
         this.peers = peers;
         this.reportedMillis = loop.nowMillis();
     }
@@ -88,7 +88,7 @@
      *
      * @param count number of VMs, this one included
      */
-    public void fleetSize(int count) {
+    public void setFleetSize(int count) {
         vms = count;
     }
 
@@ -97,8 +97,8 @@
      *
      * @param eligible whether it may
      */
-    public void candidate(boolean eligible) {
-        duty.candidate(eligible);
+    public void setCandidate(boolean eligible) {
+        duty.setCandidate(eligible);
     }
 
     /** Looks for groups that need a promotion; called every few milliseconds. */
@@ -117,7 +117,7 @@
             if (confirmed && (report || now - since < CONFIRM_MILLIS + FIRST_REPORTS_MILLIS)) {
                 report(group);
             }
-            if (duty.held()) {
+            if (duty.isLeader()) {
                 decide(group, confirmed, now);
             }
         }
@@ -134,18 +134,18 @@
      * @param message the message
      */
     public void received(String vm, PeerMessage message) {
-        if (message instanceof DutyPing ping) {
+        if (message instanceof LeadershipPing ping) {
             duty.pingReceived(vm, ping);
-        } else if (message instanceof DutyPong pong) {
+        } else if (message instanceof LeadershipPong pong) {
             duty.pongReceived(vm, pong);
-        } else if (message instanceof PrimaryReport report) {
+        } else if (message instanceof PrimaryUnreachableReport report) {
             reports.add(report.group(), report.endpoint(), vm, loop.nowMillis());
         }
     }
 
     private void decide(DatabaseGroup group, boolean unusableHere, long now) {
-        PromotionRun run = runs.get(group.name());
-        if (run != null && !run.over(now)) {
+        ReplicaPromotion run = runs.get(group.name());
+        if (run != null && !run.isSettled(now)) {
             return;
         }
         runs.remove(group.name());
@@ -155,20 +155,20 @@
         boolean draining = primary.exists(Endpoint::draining);
         boolean missing = unusableHere && primary.isEmpty();
         if (draining || missing || cutOff >= Math.min(vms, Math.max(2, vms * CUT_OFF_PART))) {
-            PromotionRun started = new PromotionRun(self, group, authority, duty, loop);
+            ReplicaPromotion started = new ReplicaPromotion(self, group, authority, duty, loop);
             runs.put(group.name(), started);
-            started.start(primary, draining && group.reaches(id), cutOff);
+            started.start(primary, draining && group.isReachable(id), cutOff);
         }
     }
 
     private static boolean primaryUnusable(DatabaseGroup group) {
-        return !group.endpoints().isEmpty() && !group.primary().exists(primary -> group.reaches(primary.id()));
+        return !group.endpoints().isEmpty() && !group.primary().exists(primary -> group.isReachable(primary.id()));
     }
 
     private void report(DatabaseGroup group) {
         String id = group.primary().map(Endpoint::id).getOrElse("");
-        duty.holder()
+        duty.leader()
                 .filter(holder -> !holder.equals(self))
-                .forEach(holder -> peers.send(holder, new PrimaryReport(group.name(), id)));
+                .forEach(holder -> peers.send(holder, new PrimaryUnreachableReport(group.name(), id)));
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/DutyKeeper.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionLeaderElection.java
@@ -6,12 +6,12 @@
 import java.util.random.RandomGenerator;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.hyssopswitch.pool.peer.DutyPing;
-import org.hyssopswitch.pool.peer.DutyPong;
+import org.hyssopswitch.pool.peer.LeadershipPing;
+import org.hyssopswitch.pool.peer.LeadershipPong;
 import org.hyssopswitch.pool.peer.PeerLinks;
 import org.hyssopswitch.pool.store.ObjectTable;
 import org.hyssopswitch.pool.store.StoreFailure;
-import org.hyssopswitch.pool.store.Stored;
+import org.hyssopswitch.pool.store.VersionedObject;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /**
@@ -20,7 +20,7 @@
  * <p>The holder stays for as long as it answers the other VMs. It is replaced by a conditional update of the record;
  * because each promotion also updates the record, a takeover fails while the holder is at work.
  */
-final class DutyKeeper {
+final class PromotionLeaderElection {
 
     private static final String RECORD = "promotion";
 
@@ -45,14 +45,14 @@
     /** Pause after a failed call to the store, milliseconds. */
     private static final long RETRY_MILLIS = 500;
 
-    private static final Logger LOG = LogManager.getLogger(DutyKeeper.class);
+    private static final Logger LOG = LogManager.getLogger(PromotionLeaderElection.class);
 
     private final String self;
-    private final ObjectTable<DutyRecord> table;
+    private final ObjectTable<LeadershipRecord> table;
     private final DecisionLoop loop;
     private final RandomGenerator random;
     private PeerLinks peers;
-    private Option<Stored<DutyRecord>> record = Option.none();
+    private Option<VersionedObject<LeadershipRecord>> record = Option.none();
     private boolean candidate = true;
     private boolean confirmed;
     private long counted;
@@ -61,7 +61,12 @@
     private long pingedMillis;
     private long notBeforeMillis;
 
-    DutyKeeper(String self, ObjectTable<DutyRecord> table, DecisionLoop loop, RandomGenerator random, PeerLinks peers) {
+    PromotionLeaderElection(
+            String self,
+            ObjectTable<LeadershipRecord> table,
+            DecisionLoop loop,
+            RandomGenerator random,
+            PeerLinks peers) {
         this.self = self;
         this.table = table;
         this.loop = loop;
@@ -77,18 +82,18 @@
     }
 
     /** Whether this VM may take the duty; in a large fleet few do, so that they do not race. */
-    void candidate(boolean eligible) {
+    void setCandidate(boolean eligible) {
         candidate = eligible;
     }
 
     /** Whether this VM's process holds the duty as far as it knows. */
-    boolean held() {
-        return confirmed && holder().contains(self);
+    boolean isLeader() {
+        return confirmed && leader().contains(self);
     }
 
     /** The holder as far as this VM knows. */
-    Option<String> holder() {
-        return record.flatMap(Stored::value).map(DutyRecord::holder);
+    Option<String> leader() {
+        return record.flatMap(VersionedObject::value).map(LeadershipRecord::holder);
     }
 
     /** Keeps in touch with the holder and takes its place when it is silent. */
@@ -99,24 +104,24 @@
         }
         if (record.isEmpty()) {
             read();
-        } else if (holder().contains(self) && !confirmed) {
+        } else if (leader().contains(self) && !confirmed) {
             take();
-        } else if (!held()) {
+        } else if (!isLeader()) {
             watchHolder(now, urgent);
         }
     }
 
     /** Counts a promotion and returns its record; nothing when this VM no longer holds the duty. */
-    void countPromotion(Consumer<Option<DutyRecord>> done) {
-        if (!held()) {
+    void recordPromotion(Consumer<Option<LeadershipRecord>> done) {
+        if (!isLeader()) {
             done.accept(Option.none());
             return;
         }
-        Stored<DutyRecord> current = record.get();
+        VersionedObject<LeadershipRecord> current = record.get();
         counted = Math.max(counted, current.value().get().promotions()) + 1;
-        DutyRecord next = current.value().get().withPromotions(counted);
+        LeadershipRecord next = current.value().get().withPromotions(counted);
         table.write(RECORD, Option.some(current.revision()), next, result -> {
-            if (!held() || epoch() != next.epoch()) {
+            if (!isLeader() || epoch() != next.epoch()) {
                 // The duty was lost, or taken again under a new epoch, while the call was on its way.
                 done.accept(Option.none());
             } else if (result.isRight()) {
@@ -128,45 +133,47 @@
                 done.accept(Option.none());
             } else {
                 // The tokens of the epoch are this process's own, and the platform refuses them once others used more.
-                LOG.warn("event=promotion_uncounted token={} cause=\"{}\"", next.token(), describe(result));
-                record = Option.some(new Stored<>(RECORD, current.revision(), Option.some(next)));
+                LOG.warn("event=promotion_uncounted token={} cause=\"{}\"", next.fencingToken(), describe(result));
+                record = Option.some(new VersionedObject<>(RECORD, current.revision(), Option.some(next)));
                 done.accept(Option.some(next));
             }
         });
     }
 
     /** The platform has seen a higher token than this VM's. */
-    void outdated() {
-        LOG.warn("event=duty_lost holder={} cause=token_refused", holder().getOrElse("none"));
+    void tokenRejected() {
+        LOG.warn("event=duty_lost holder={} cause=token_refused", leader().getOrElse("none"));
         forget();
     }
 
-    void pingReceived(String vm, DutyPing ping) {
+    void pingReceived(String vm, LeadershipPing ping) {
         long epoch = epoch();
         if (ping.epoch() > epoch && !calling) {
             forget();
         }
-        peers.send(vm, new DutyPong(epoch, held() ? self : holder().getOrElse("")));
+        peers.send(vm, new LeadershipPong(epoch, isLeader() ? self : leader().getOrElse("")));
     }
 
-    void pongReceived(String vm, DutyPong pong) {
+    void pongReceived(String vm, LeadershipPong pong) {
         long epoch = epoch();
         if (pong.epoch() > epoch || !pong.holder().equals(vm)) {
             forget();
-        } else if (holder().contains(vm)) {
+        } else if (leader().contains(vm)) {
             heardMillis = loop.nowMillis();
         }
     }
 
     /** The latest epoch that this VM knows; -1 while it knows none. */
     private long epoch() {
-        return record.flatMap(Stored::value).map(DutyRecord::epoch).getOrElse(-1L);
+        return record.flatMap(VersionedObject::value)
+                .map(LeadershipRecord::epoch)
+                .getOrElse(-1L);
     }
 
     private void watchHolder(long now, boolean urgent) {
         if (now - pingedMillis >= (candidate ? PING_PERIOD_MILLIS : FOLLOWER_PING_PERIOD_MILLIS)) {
             pingedMillis = now;
-            peers.send(holder().get(), new DutyPing(epoch()));
+            peers.send(leader().get(), new LeadershipPing(epoch()));
         }
         if (!candidate) {
             if (now - heardMillis > FOLLOWER_SILENCE_MILLIS) {
@@ -184,7 +191,7 @@
     private void takeIfSilent() {
         calling = false;
         if (record.isDefined() && loop.nowMillis() - heardMillis > URGENT_SILENCE_MILLIS) {
-            LOG.info("event=duty_takeover from={} silent_ms={}", holder().get(), loop.nowMillis() - heardMillis);
+            LOG.info("event=duty_takeover from={} silent_ms={}", leader().get(), loop.nowMillis() - heardMillis);
             take();
         }
     }
@@ -196,10 +203,10 @@
             heardMillis = loop.nowMillis();
             if (result.isLeft()) {
                 pause();
-            } else if (result.get().flatMap(Stored::value).isDefined()) {
+            } else if (result.get().flatMap(VersionedObject::value).isDefined()) {
                 record = result.get();
             } else if (candidate) {
-                write(Option.none(), new DutyRecord(self, 1, 0));
+                write(Option.none(), new LeadershipRecord(self, 1, 0));
             } else {
                 pause();
             }
@@ -207,13 +214,13 @@
     }
 
     private void take() {
-        Stored<DutyRecord> current = record.get();
+        VersionedObject<LeadershipRecord> current = record.get();
         write(
                 Option.some(current.revision()),
-                new DutyRecord(self, current.value().get().epoch() + 1, 0));
+                new LeadershipRecord(self, current.value().get().epoch() + 1, 0));
     }
 
-    private void write(Option<Long> expected, DutyRecord next) {
+    private void write(Option<Long> expected, LeadershipRecord next) {
         calling = true;
         table.write(RECORD, expected, next, result -> {
             calling = false;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionRun.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/ReplicaPromotion.java
@@ -11,11 +11,11 @@
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.endpoint.DatabaseGroup;
-import org.hyssopswitch.pool.endpoint.ReplicaStatus;
+import org.hyssopswitch.pool.endpoint.ReplicationStatus;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /** One promotion: finds the most advanced replica, orders its promotion, and waits for it to lead. */
-final class PromotionRun {
+final class ReplicaPromotion {
 
     /** Time in which replicas answer the question for their positions, milliseconds. */
     private static final long STATUS_MILLIS = 250;
@@ -32,12 +32,12 @@
     /** Time in which a promoted endpoint leads, milliseconds: a few times what groups take. */
     private static final long LEAD_MILLIS = 3_000;
 
-    private static final Logger LOG = LogManager.getLogger(PromotionRun.class);
+    private static final Logger LOG = LogManager.getLogger(ReplicaPromotion.class);
 
     private final String self;
     private final DatabaseGroup group;
     private final PromotionAuthority authority;
-    private final DutyKeeper duty;
+    private final PromotionLeaderElection duty;
     private final DecisionLoop loop;
     private final Set<String> rejected = new HashSet<>();
     private Option<Endpoint> old = Option.none();
@@ -47,7 +47,12 @@
     private boolean ended;
     private long overAtMillis = Long.MAX_VALUE;
 
-    PromotionRun(String self, DatabaseGroup group, PromotionAuthority authority, DutyKeeper duty, DecisionLoop loop) {
+    ReplicaPromotion(
+            String self,
+            DatabaseGroup group,
+            PromotionAuthority authority,
+            PromotionLeaderElection duty,
+            DecisionLoop loop) {
         this.self = self;
         this.group = group;
         this.authority = authority;
@@ -76,9 +81,9 @@
     }
 
     /** Whether the run has ended and its effect had time to show. */
-    boolean over(long nowMillis) {
+    boolean isSettled(long nowMillis) {
         boolean replaced = group.primary()
-                .exists(primary -> !old.exists(o -> o.id().equals(primary.id())) && group.reaches(primary.id()));
+                .exists(primary -> !old.exists(o -> o.id().equals(primary.id())) && group.isReachable(primary.id()));
         return ended && (replaced || nowMillis >= overAtMillis);
     }
 
@@ -87,7 +92,7 @@
                 .filter(endpoint -> !endpoint.draining()
                         && !old.exists(primary -> primary.id().equals(endpoint.id()))
                         && !rejected.contains(endpoint.id())
-                        && group.reaches(endpoint.id()))
+                        && group.isReachable(endpoint.id()))
                 .toList();
     }
 
@@ -144,7 +149,7 @@
     }
 
     private void order(Endpoint target) {
-        duty.countPromotion(counted -> {
+        duty.recordPromotion(counted -> {
             if (counted.isEmpty()) {
                 end(0);
                 return;
@@ -153,22 +158,23 @@
         });
     }
 
-    private void send(Endpoint target, DutyRecord counted) {
+    private void send(Endpoint target, LeadershipRecord counted) {
         orders++;
-        PromotionAuthority.Order order = new PromotionAuthority.Order(group.name(), target.id(), self, counted.token());
+        PromotionAuthority.Order order =
+                new PromotionAuthority.Order(group.name(), target.id(), self, counted.fencingToken());
         authority.promote(order, answer -> {
             LOG.info(
                     "event=promotion_ordered group={} endpoint={} token={} order={} answer={}",
                     group.name(),
                     target.id(),
-                    counted.token(),
+                    counted.fencingToken(),
                     orders,
                     answer);
             answered(target, counted, answer);
         });
     }
 
-    private void answered(Endpoint target, DutyRecord counted, PromotionAuthority.Answer answer) {
+    private void answered(Endpoint target, LeadershipRecord counted, PromotionAuthority.Answer answer) {
         switch (answer) {
             case ACCEPTED -> {
                 if (planned) {
@@ -179,7 +185,7 @@
             case REJECTED -> {
                 // Either the endpoint is down or another VM has used a higher token: the record tells.
                 rejected.add(target.id());
-                duty.outdated();
+                duty.tokenRejected();
                 end(ORDER_RETRY_MILLIS);
             }
             default -> {
@@ -193,14 +199,14 @@
     }
 
     /** Repeats an order unless the primary has become usable again or this VM has lost the duty meanwhile. */
-    private void repeat(Endpoint target, DutyRecord counted) {
-        boolean usable = !planned && group.primary().exists(primary -> group.reaches(primary.id()));
-        if (usable || !duty.held()) {
+    private void repeat(Endpoint target, LeadershipRecord counted) {
+        boolean usable = !planned && group.primary().exists(primary -> group.isReachable(primary.id()));
+        if (usable || !duty.isLeader()) {
             LOG.info(
                     "event=promotion_abandoned group={} endpoint={} token={} primary_usable={}",
                     group.name(),
                     target.id(),
-                    counted.token(),
+                    counted.fencingToken(),
                     usable);
             end(0);
         } else {
@@ -226,7 +232,7 @@
         overAtMillis = loop.nowMillis() + settleMillis;
     }
 
-    private record Found(Endpoint endpoint, ReplicaStatus status) {
+    private record Found(Endpoint endpoint, ReplicationStatus status) {
 
         LogPosition received() {
             return status.received();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PrimaryReports.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/UnreachabilityReports.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Which VMs cannot use which endpoint as a primary, by their latest reports. */
-final class PrimaryReports {
+final class UnreachabilityReports {
 
     /** Time for which a report counts, milliseconds: three periods of sending. */
     private static final long VALID_MILLIS = 900;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
@@ -14,7 +14,7 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.endpoint.BorrowedLink;
 import org.hyssopswitch.pool.endpoint.EndpointLink;
-import org.hyssopswitch.pool.endpoint.LeaseEnd;
+import org.hyssopswitch.pool.endpoint.LeaseEndReason;
 import org.hyssopswitch.pool.endpoint.LeaseRole;
 import org.hyssopswitch.pool.endpoint.LeaseSource;
 import org.hyssopswitch.pool.endpoint.PositionListener;
@@ -52,7 +52,7 @@
 
     private final LongSupplier clock;
     private final LenderDirectory directory;
-    private final Map<Long, Borrowed> borrowed = new HashMap<>();
+    private final Map<Long, LeasedEndpointLink> borrowed = new HashMap<>();
     private final Map<Long, Query> queries = new HashMap<>();
     private final Map<String, Long> heardMillis = new HashMap<>();
     private final Map<String, Long> pingedMillis = new HashMap<>();
@@ -113,7 +113,8 @@
                 .filter(vm -> !vm.equals(self))
                 .map(vm -> {
                     long lease = nextNumber++;
-                    Borrowed link = new Borrowed(new Borrowed.Origin(vm, endpoint.id(), lease), listener, this::send);
+                    LeasedEndpointLink link = new LeasedEndpointLink(
+                            new LeasedEndpointLink.Origin(vm, endpoint.id(), lease), listener, this::send);
                     borrowed.put(lease, link);
                     send(
                             vm,
@@ -124,7 +125,7 @@
     }
 
     @Override
-    public boolean askPosition(Endpoint endpoint, PositionListener listener) {
+    public boolean queryPosition(Endpoint endpoint, PositionListener listener) {
         Option<String> lender = directory.lender(endpoint, clock.getAsLong()).filter(vm -> !vm.equals(self));
         lender.forEach(vm -> {
             long query = nextNumber++;
@@ -143,9 +144,9 @@
     public void received(String vm, PeerMessage message) {
         heardMillis.put(vm, clock.getAsLong());
         unansweredSinceMillis.remove(vm);
-        directory.answered(vm);
+        directory.markResponsive(vm);
         if (message instanceof LeaseGrant grant) {
-            find(vm, grant.lease()).forEach(Borrowed::granted);
+            find(vm, grant.lease()).forEach(LeasedEndpointLink::granted);
         } else if (message instanceof LeaseReply reply) {
             find(vm, reply.lease()).forEach(link -> link.replied(reply));
         } else if (message instanceof LeaseEnded ended) {
@@ -169,13 +170,13 @@
         long now = clock.getAsLong();
         boolean paused = now - tickedMillis > PAUSE_MILLIS;
         tickedMillis = now;
-        borrowed.values().removeIf(Borrowed::closed);
+        borrowed.values().removeIf(LeasedEndpointLink::isClosed);
         queries.values().removeIf(query -> now - query.sinceMillis() > QUERY_MILLIS);
         if (paused) {
             unansweredSinceMillis.replaceAll((vm, at) -> now);
         }
         Stream<String> lenders = borrowed.values().stream()
-                .filter(Borrowed::unanswered)
+                .filter(LeasedEndpointLink::isAwaitingReply)
                 .map(link -> link.origin().vm());
         Stream.concat(lenders, queries.values().stream().map(Query::vm))
                 .distinct()
@@ -201,21 +202,21 @@
     }
 
     private void lost(String vm, String cause) {
-        List<Borrowed> links = borrowed.values().stream()
-                .filter(link -> link.origin().vm().equals(vm) && !link.closed())
+        List<LeasedEndpointLink> links = borrowed.values().stream()
+                .filter(link -> link.origin().vm().equals(vm) && !link.isClosed())
                 .toList();
         boolean owed = unansweredSinceMillis.remove(vm) != null;
         if (owed || !links.isEmpty()) {
             LOG.warn("event=lender_lost vm={} leases={} cause={}", vm, links.size(), cause);
-            directory.failed(vm, clock.getAsLong());
-            links.forEach(link -> ended(link, LeaseEnd.NO_LENDER));
+            directory.markFailed(vm, clock.getAsLong());
+            links.forEach(link -> ended(link, LeaseEndReason.NO_LENDER));
         }
     }
 
-    private void ended(Borrowed link, LeaseEnd reason) {
+    private void ended(LeasedEndpointLink link, LeaseEndReason reason) {
         String vm = link.origin().vm();
-        if (reason == LeaseEnd.UNREACHABLE || reason == LeaseEnd.NO_LENDER) {
-            directory.blocked(vm, link.origin().endpointId(), clock.getAsLong());
+        if (reason == LeaseEndReason.UNREACHABLE || reason == LeaseEndReason.NO_LENDER) {
+            directory.markEndpointUnreachable(vm, link.origin().endpointId(), clock.getAsLong());
         }
         borrowed.remove(link.origin().lease());
         link.ended(reason);
@@ -223,15 +224,15 @@
 
     private void answered(String vm, Query query, PositionAnswer answer) {
         if (!answer.reached()) {
-            directory.blocked(vm, query.endpointId(), clock.getAsLong());
+            directory.markEndpointUnreachable(vm, query.endpointId(), clock.getAsLong());
             query.listener().unreachable();
         } else {
-            answer.position().peek(query.listener()::proven).onEmpty(query.listener()::notPrimary);
+            answer.position().peek(query.listener()::primaryConfirmed).onEmpty(query.listener()::notPrimary);
         }
     }
 
-    private Option<Borrowed> find(String vm, long lease) {
-        return Option.of(borrowed.get(lease)).filter(link -> link.origin().vm().equals(vm) && !link.closed());
+    private Option<LeasedEndpointLink> find(String vm, long lease) {
+        return Option.of(borrowed.get(lease)).filter(link -> link.origin().vm().equals(vm) && !link.isClosed());
     }
 
     /** Sends a message; all but the return of a connection are answered at once, by a pong if by nothing else. */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionLender.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionLender.java
@@ -8,8 +8,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.pool.catalog.Account;
-import org.hyssopswitch.pool.endpoint.Groups;
-import org.hyssopswitch.pool.endpoint.LeaseEnd;
+import org.hyssopswitch.pool.endpoint.DatabaseGroups;
+import org.hyssopswitch.pool.endpoint.LeaseEndReason;
 import org.hyssopswitch.pool.endpoint.PositionListener;
 import org.hyssopswitch.pool.peer.LeaseCommand;
 import org.hyssopswitch.pool.peer.LeaseEnded;
@@ -36,7 +36,7 @@
     /** Leases at most; what lies beyond is refused at once. */
     private static final int MAX_LEASES = 2_000;
 
-    private final Groups groups;
+    private final DatabaseGroups groups;
     private final LongSupplier clock;
     private final Map<Key, Lease> leases = new HashMap<>();
     private PeerLinks peers;
@@ -49,7 +49,7 @@
      * @param peers the other VMs
      * @param clock milliseconds of the monotonic clock
      */
-    public ConnectionLender(Groups groups, PeerLinks peers, LongSupplier clock) {
+    public ConnectionLender(DatabaseGroups groups, PeerLinks peers, LongSupplier clock) {
         this.groups = groups;
         this.peers = peers;
         this.clock = clock;
@@ -81,18 +81,18 @@
             lend(new Key(vm, request.lease()), request);
         } else if (message instanceof LeaseCommand command) {
             Key key = new Key(vm, command.lease());
-            Option.of(leases.get(key)).peek(lease -> lease.run(command)).onEmpty(() -> end(key, LeaseEnd.BROKEN));
+            Option.of(leases.get(key)).peek(lease -> lease.run(command)).onEmpty(() -> end(key, LeaseEndReason.BROKEN));
         } else if (message instanceof LeaseReturn returned) {
-            Option.of(leases.remove(new Key(vm, returned.lease()))).forEach(Lease::giveBack);
+            Option.of(leases.remove(new Key(vm, returned.lease()))).forEach(Lease::release);
         } else if (message instanceof LenderPing ping && !ping.reply()) {
             peers.send(vm, new LenderPing(true));
         } else if (message instanceof PositionQuery query) {
-            groups.find(query.group()).forEach(group -> group.askPosition(query.endpoint(), new Answer(vm, query)));
+            groups.find(query.group()).forEach(group -> group.queryPosition(query.endpoint(), new Answer(vm, query)));
         }
     }
 
     /** Connections that are lent or asked for. */
-    public int size() {
+    public int leaseCount() {
         return leases.size();
     }
 
@@ -100,36 +100,36 @@
     public void tick() {
         long now = clock.getAsLong();
         for (Map.Entry<Key, Lease> entry : List.copyOf(leases.entrySet())) {
-            if (now - entry.getValue().usedMillis() > UNUSED_MILLIS) {
+            if (now - entry.getValue().lastUsedMillis() > UNUSED_MILLIS) {
                 leases.remove(entry.getKey());
-                entry.getValue().giveBack();
-                end(entry.getKey(), LeaseEnd.BROKEN);
+                entry.getValue().release();
+                end(entry.getKey(), LeaseEndReason.BROKEN);
             }
         }
     }
 
     private void lend(Key key, LeaseRequest request) {
         if (stopping) {
-            end(key, LeaseEnd.NO_LENDER);
+            end(key, LeaseEndReason.NO_LENDER);
             return;
         }
         if (leases.size() >= MAX_LEASES) {
-            end(key, LeaseEnd.OVERLOADED);
+            end(key, LeaseEndReason.OVERLOADED);
             return;
         }
         Account account = new Account(request.account(), Option.none());
         Lease lease = new Lease(request, account, new Borrower(key), clock);
         leases.put(key, lease);
-        Option<LeaseEnd> refusal = groups.find(request.group())
+        Option<LeaseEndReason> refusal = groups.find(request.group())
                 .map(group -> group.lend(request.endpoint(), lease))
-                .getOrElse(Option.some(LeaseEnd.NO_LENDER));
+                .getOrElse(Option.some(LeaseEndReason.NO_LENDER));
         refusal.forEach(reason -> {
             leases.remove(key);
             end(key, reason);
         });
     }
 
-    private void end(Key key, LeaseEnd reason) {
+    private void end(Key key, LeaseEndReason reason) {
         peers.send(key.vm(), new LeaseEnded(key.lease(), reason));
     }
 
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void ended(String group, String endpointId, LeaseEnd otherwise) {
+        public void ended(String group, String endpointId, LeaseEndReason otherwise) {
             leases.remove(key);
             end(
                     key,
@@ -176,7 +176,7 @@
         }
 
         @Override
-        public void proven(LogPosition position) {
+        public void primaryConfirmed(LogPosition position) {
             peers.send(vm, new PositionAnswer(query.query(), true, Option.some(position)));
         }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Lease.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Lease.java
@@ -4,10 +4,10 @@
 import java.util.function.LongSupplier;
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.pool.catalog.Account;
-import org.hyssopswitch.pool.endpoint.LeaseEnd;
+import org.hyssopswitch.pool.endpoint.ConnectionRequest;
+import org.hyssopswitch.pool.endpoint.LeaseEndReason;
 import org.hyssopswitch.pool.endpoint.PooledConnection;
 import org.hyssopswitch.pool.endpoint.ReplyHandler;
-import org.hyssopswitch.pool.endpoint.Work;
 import org.hyssopswitch.pool.peer.LeaseCommand;
 import org.hyssopswitch.pool.peer.LeaseReply;
 import org.hyssopswitch.pool.peer.LeaseRequest;
@@ -15,7 +15,7 @@
 import org.hyssopswitch.pool.statement.Reply;
 
 /** A connection that this VM lends, or will lend once one is free. */
-final class Lease implements Work {
+final class Lease implements ConnectionRequest {
 
     private final LeaseRequest request;
     private final Account account;
@@ -38,7 +38,7 @@
     }
 
     /** When the borrower last sent something, milliseconds of the monotonic clock. */
-    long usedMillis() {
+    long lastUsedMillis() {
         return usedMillis;
     }
 
@@ -73,12 +73,12 @@
     }
 
     @Override
-    public long assignBeforeMillis() {
+    public long assignmentDeadlineMillis() {
         return assignBeforeMillis;
     }
 
     @Override
-    public long unservableWaitMillis() {
+    public long unavailableWaitMillis() {
         return 0;
     }
 
@@ -100,7 +100,7 @@
     @Override
     public void refused(ErrorCode code, String reason) {
         if (!over) {
-            end(LeaseEnd.OVERLOADED);
+            end(LeaseEndReason.OVERLOADED);
         }
     }
 
@@ -111,18 +111,18 @@
             // A command before this one was lost with the link that carried it.
             connection.forEach(PooledConnection::discard);
             if (!over) {
-                end(LeaseEnd.BROKEN);
+                end(LeaseEndReason.BROKEN);
             }
             return;
         }
         received++;
         unanswered++;
-        connection.get().adopt(command.values(), command.shape());
+        connection.get().applySession(command.values(), command.shape());
         connection.get().send(command.command(), new CommandReply(command.number()));
     }
 
     /** The borrower returned the connection or gave up its request. */
-    void giveBack() {
+    void release() {
         over = true;
         connection.forEach(lent -> {
             if (unanswered > 0) {
@@ -134,7 +134,7 @@
         connection = Option.none();
     }
 
-    private void end(LeaseEnd reason) {
+    private void end(LeaseEndReason reason) {
         over = true;
         connection = Option.none();
         events.ended(request.group(), request.endpoint(), reason);
@@ -156,7 +156,7 @@
          * @param endpointId the endpoint
          * @param otherwise why, unless the endpoint cannot be reached
          */
-        void ended(String group, String endpointId, LeaseEnd otherwise);
+        void ended(String group, String endpointId, LeaseEndReason otherwise);
     }
 
     private final class CommandReply implements ReplyHandler {
@@ -171,7 +171,7 @@
         public void replied(Reply reply) {
             unanswered--;
             if (reply.error().contains(ErrorCode.STATEMENT_UNKNOWN)) {
-                connection.forEach(PooledConnection::forgetPrepared);
+                connection.forEach(PooledConnection::clearPrepared);
             }
             if (!over) {
                 events.replied(new LeaseReply(request.lease(), number, reply));
@@ -179,9 +179,9 @@
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             if (!over) {
-                end(LeaseEnd.BROKEN);
+                end(LeaseEndReason.BROKEN);
             }
         }
     }
