--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Borrowed.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
@@ -7,7 +7,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 import org.hyssopswitch.pool.endpoint.BorrowedLink;
 import org.hyssopswitch.pool.endpoint.EndpointLink;
-import org.hyssopswitch.pool.endpoint.LeaseEnd;
+import org.hyssopswitch.pool.endpoint.LeaseEndReason;
 import org.hyssopswitch.pool.peer.LeaseCommand;
 import org.hyssopswitch.pool.peer.LeaseReply;
 import org.hyssopswitch.pool.peer.LeaseReturn;
@@ -15,7 +15,7 @@
 import org.hyssopswitch.pool.statement.PreparedShape;
 
 /** A connection that another VM lends, as the borrower sees it. */
-final class Borrowed implements BorrowedLink {
+final class LeasedEndpointLink implements BorrowedLink {
 
     private final Origin origin;
     private final EndpointLink.Listener listener;
@@ -27,7 +27,7 @@
     private boolean granted;
     private boolean closed;
 
-    Borrowed(Origin origin, EndpointLink.Listener listener, BiConsumer<String, PeerMessage> sender) {
+    LeasedEndpointLink(Origin origin, EndpointLink.Listener listener, BiConsumer<String, PeerMessage> sender) {
         this.origin = origin;
         this.listener = listener;
         this.sender = sender;
@@ -37,17 +37,17 @@
         return origin;
     }
 
-    boolean closed() {
+    boolean isClosed() {
         return closed;
     }
 
     /** Whether the request or a command waits for an answer. */
-    boolean unanswered() {
+    boolean isAwaitingReply() {
         return !closed && (!granted || answered < sent);
     }
 
     @Override
-    public void adopt(Map<String, String> wanted, Option<PreparedShape> prepared) {
+    public void applySession(Map<String, String> wanted, Option<PreparedShape> prepared) {
         values = Map.copyOf(wanted);
         shape = prepared;
     }
@@ -79,7 +79,7 @@
         if (reply.number() != answered) {
             // An answer was lost with the link that carried it.
             close();
-            listener.leaseEnded(LeaseEnd.BROKEN);
+            listener.leaseEnded(LeaseEndReason.BROKEN);
             return;
         }
         answered++;
@@ -87,7 +87,7 @@
     }
 
     /** The lender ended the lease or is lost; it is told all the same, in case it lives. */
-    void ended(LeaseEnd reason) {
+    void ended(LeaseEndReason reason) {
         close();
         listener.leaseEnded(reason);
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LenderDirectory.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LenderDirectory.java
@@ -67,7 +67,7 @@
     }
 
     /** A VM does not answer or does not lend at all. */
-    void failed(String vm, long nowMillis) {
+    void markFailed(String vm, long nowMillis) {
         Failure previous = failures.get(vm);
         if (previous != null && nowMillis < previous.untilMillis()) {
             return;
@@ -77,12 +77,12 @@
     }
 
     /** A VM has answered. */
-    void answered(String vm) {
+    void markResponsive(String vm) {
         failures.remove(vm);
     }
 
     /** A VM does not reach an endpoint. */
-    void blocked(String vm, String endpointId, long nowMillis) {
+    void markEndpointUnreachable(String vm, String endpointId, long nowMillis) {
         blockedUntilMillis.put(new Path(vm, endpointId), nowMillis + UNREACHABLE_PAUSE_MILLIS);
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void sendToSome(PeerMessage message) {
+    public void sendToSubset(PeerMessage message) {
         List<VmAddress> some = new ArrayList<>(addresses.values());
         if (some.size() > MAX_RECIPIENTS) {
             Collections.shuffle(some, random);
@@ -98,12 +98,12 @@
 
     private static MessageRegistry registry() {
         return MessageRegistry.builder()
-                .register(110, TokenNeed.class)
-                .register(111, TokenGift.class)
+                .register(110, TokenRequest.class)
+                .register(111, TokenTransfer.class)
                 .register(112, ConnectionShortage.class)
-                .register(113, PrimaryReport.class)
-                .register(114, DutyPing.class)
-                .register(115, DutyPong.class)
+                .register(113, PrimaryUnreachableReport.class)
+                .register(114, LeadershipPing.class)
+                .register(115, LeadershipPong.class)
                 .register(116, LeaseRequest.class)
                 .register(117, LeaseGrant.class)
                 .register(118, LeaseEnded.class)
@@ -113,8 +113,8 @@
                 .register(122, LenderPing.class)
                 .register(123, PositionQuery.class)
                 .register(124, PositionAnswer.class)
-                .register(125, FollowRequest.class)
-                .register(126, FollowAnswer.class)
+                .register(125, StoreSyncRequest.class)
+                .register(126, StoreSyncResponse.class)
                 .build();
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DutyPing.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeadershipPing.java
@@ -7,4 +7,4 @@
  *
  * @param epoch the holder's epoch as the sender knows it
  */
-public record DutyPing(long epoch) implements PeerMessage {}
+public record LeadershipPing(long epoch) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DutyPong.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeadershipPong.java
@@ -8,4 +8,4 @@
  * @param epoch the latest epoch known to the sender
  * @param holder who holds the duty in that epoch
  */
-public record DutyPong(long epoch, String holder) implements PeerMessage {}
+public record LeadershipPong(long epoch, String holder) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseEnded.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseEnded.java
@@ -1,7 +1,7 @@
 package org.hyssopswitch.pool.peer;
 
 import org.hyssopswitch.core.message.PeerMessage;
-import org.hyssopswitch.pool.endpoint.LeaseEnd;
+import org.hyssopswitch.pool.endpoint.LeaseEndReason;
 
 /**
  * The lender does not lend a connection, or no longer.
@@ -9,4 +9,4 @@
  * @param lease the borrower's number
  * @param reason why
  */
-public record LeaseEnded(long lease, LeaseEnd reason) implements PeerMessage {}
+public record LeaseEnded(long lease, LeaseEndReason reason) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PeerLinks.java
@@ -19,7 +19,7 @@
      *
      * @param message the message
      */
-    void sendToSome(PeerMessage message);
+    void sendToSubset(PeerMessage message);
 
     /** Names of the other VMs. */
     Collection<String> names();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PrimaryReport.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PrimaryUnreachableReport.java
@@ -8,4 +8,4 @@
  * @param group the group
  * @param endpoint the endpoint that the VM takes for the primary; empty when it knows none
  */
-public record PrimaryReport(String group, String endpoint) implements PeerMessage {}
+public record PrimaryUnreachableReport(String group, String endpoint) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/FollowRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/StoreSyncRequest.java
@@ -8,4 +8,4 @@
  * @param catalogVersion version of the configuration in force
  * @param endpointsDigest digest of the list of endpoints
  */
-public record FollowRequest(long catalogVersion, long endpointsDigest) implements PeerMessage {}
+public record StoreSyncRequest(long catalogVersion, long endpointsDigest) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/FollowAnswer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/StoreSyncResponse.java
@@ -14,6 +14,6 @@
  * @param endpointsRevision store revision of the list of endpoints
  * @param endpoints all endpoints, if the list differs from the asker's
  */
-public record FollowAnswer(
+public record StoreSyncResponse(
         boolean current, Option<Catalog> catalog, long endpointsRevision, Option<List<Endpoint>> endpoints)
         implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenNeed.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenRequest.java
@@ -8,4 +8,4 @@
  *
  * @param wanted number of operations by client account
  */
-public record TokenNeed(Map<String, Double> wanted) implements PeerMessage {}
+public record TokenRequest(Map<String, Double> wanted) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenGift.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenTransfer.java
@@ -8,4 +8,4 @@
  *
  * @param tokens number of operations by client account
  */
-public record TokenGift(Map<String, Double> tokens) implements PeerMessage {}
+public record TokenTransfer(Map<String, Double> tokens) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountLimiter.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountLimiter.java
@@ -10,8 +10,8 @@
 import org.hyssopswitch.pool.catalog.Account;
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.peer.PeerLinks;
-import org.hyssopswitch.pool.peer.TokenGift;
-import org.hyssopswitch.pool.peer.TokenNeed;
+import org.hyssopswitch.pool.peer.TokenRequest;
+import org.hyssopswitch.pool.peer.TokenTransfer;
 
 /**
  * Admits operations of client accounts at this VM's share of their rates, and moves what is not needed to VMs that need
@@ -109,19 +109,19 @@
             admission.admitted();
             return;
         }
-        share.waitOrRefuse(admission, now, maxWaitMillis);
-        askForWaiting(now);
+        share.enqueueOrRefuse(admission, now, maxWaitMillis);
+        requestTokensForWaiting(now);
     }
 
     /** Admits or refuses what waits and asks for spare operations; called every few milliseconds. */
     public void tick() {
         long now = clock.getAsLong();
-        shares.values().forEach(share -> share.settle(now));
+        shares.values().forEach(share -> share.processWaiting(now));
         if (now - askedMillis >= (largeFleet ? LARGE_FLEET_ASK_PERIOD_MILLIS : ASK_PERIOD_MILLIS)) {
             askedMillis = now;
-            ask(shares, now);
+            requestTokens(shares, now);
         } else {
-            askForWaiting(now);
+            requestTokensForWaiting(now);
         }
     }
 
@@ -131,18 +131,18 @@
      * @param vm name of the VM
      * @param need what it asks for
      */
-    public void needReceived(String vm, TokenNeed need) {
+    public void tokenRequestReceived(String vm, TokenRequest need) {
         long now = clock.getAsLong();
         Map<String, Double> tokens = new HashMap<>();
         need.wanted().forEach((name, wanted) -> {
             AccountShare share = shares.get(name);
-            double given = share == null ? 0 : share.give(wanted, now);
+            double given = share == null ? 0 : share.withdrawUnused(wanted, now);
             if (given > 0) {
                 tokens.put(name, given);
             }
         });
         if (!tokens.isEmpty()) {
-            peers.send(vm, new TokenGift(tokens));
+            peers.send(vm, new TokenTransfer(tokens));
         }
     }
 
@@ -151,46 +151,46 @@
      *
      * @param gift the operations
      */
-    public void giftReceived(TokenGift gift) {
+    public void tokenTransferReceived(TokenTransfer gift) {
         long now = clock.getAsLong();
         gift.tokens().forEach((name, tokens) -> {
             AccountShare share = shares.get(name);
             if (share != null) {
-                share.take(tokens, now);
+                share.deposit(tokens, now);
             }
         });
     }
 
     /** Asks for what operations wait for. */
-    private void askForWaiting(long now) {
+    private void requestTokensForWaiting(long now) {
         if (now - askedForWaitingMillis < URGENT_PERIOD_MILLIS) {
             return;
         }
         Map<String, AccountShare> waiting = new HashMap<>();
         shares.forEach((name, share) -> {
-            if (share.operationsWait()) {
+            if (share.hasWaiting()) {
                 waiting.put(name, share);
             }
         });
         if (!waiting.isEmpty()) {
             askedForWaitingMillis = now;
-            ask(waiting, now);
+            requestTokens(waiting, now);
         }
     }
 
     /** Asks all that share an account's rate; in a large fleet one of them after the other. */
-    private void ask(Map<String, AccountShare> forShares, long now) {
+    private void requestTokens(Map<String, AccountShare> forShares, long now) {
         Map<String, Map<String, Double>> wanted = new HashMap<>();
         forShares.forEach((name, share) -> {
-            double missing = share.missing(now);
+            double missing = share.missingTokens(now);
             if (missing > 0) {
-                List<String> asked = largeFleet ? share.nextOther().toJavaList() : share.others();
+                List<String> asked = largeFleet ? share.nextSharingVm().toJavaList() : share.otherSharingVms();
                 double each = missing * Math.min(asked.size(), OVERASK) / Math.max(1, asked.size());
                 asked.forEach(
                         vm -> wanted.computeIfAbsent(vm, key -> new HashMap<>()).put(name, each));
             }
         });
-        wanted.forEach((vm, byAccount) -> peers.send(vm, new TokenNeed(byAccount)));
+        wanted.forEach((vm, byAccount) -> peers.send(vm, new TokenRequest(byAccount)));
     }
 
     /** Takes the decision on one operation. */
@@ -207,6 +207,6 @@
         void refused(long retryAfterMillis);
 
         /** Whether the caller still waits. */
-        boolean wanted();
+        boolean isPending();
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountShare.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountShare.java
@@ -76,12 +76,12 @@
     }
 
     /** The other VMs that share the limit. */
-    List<String> others() {
+    List<String> otherSharingVms() {
         return others;
     }
 
     /** One of the others, each in turn. */
-    Option<String> nextOther() {
+    Option<String> nextSharingVm() {
         if (others.isEmpty()) {
             return Option.none();
         }
@@ -97,7 +97,7 @@
     }
 
     /** Lets an operation wait unless more wait already than the whole fleet's rate could admit in the time. */
-    void waitOrRefuse(AccountLimiter.Admission admission, long nowMillis, long maxWaitMillis) {
+    void enqueueOrRefuse(AccountLimiter.Admission admission, long nowMillis, long maxWaitMillis) {
         double admissible = fleetRate * maxWaitMillis / MILLIS_PER_SECOND;
         if (waiting.size() >= Math.max(MIN_WAITING, admissible)) {
             admission.refused(retryAfterMillis(nowMillis));
@@ -107,14 +107,14 @@
     }
 
     /** Admits what waits as far as operations are free, and refuses what has waited too long. */
-    void settle(long nowMillis) {
+    void processWaiting(long nowMillis) {
         if (borrower && nowMillis - usedMillis > BORROWED_MILLIS) {
             bucket.withdraw(bucket.burst(), nowMillis);
         }
         if (waiting.isEmpty()) {
             return;
         }
-        waiting.removeIf(one -> !one.admission().wanted());
+        waiting.removeIf(one -> !one.admission().isPending());
         List<Waiting> admitted = new ArrayList<>();
         while (!waiting.isEmpty() && bucket.tryTake(nowMillis)) {
             admitted.add(waiting.removeFirst());
@@ -129,31 +129,31 @@
     }
 
     /** Whether operations wait for the rate. */
-    boolean operationsWait() {
+    boolean hasWaiting() {
         return !waiting.isEmpty();
     }
 
     /** Operations that are likely to be asked for soon and are not at hand. */
-    double missing(long nowMillis) {
-        double missing = wanted(nowMillis) - bucket.tokens(nowMillis);
+    double missingTokens(long nowMillis) {
+        double missing = targetTokens(nowMillis) - bucket.tokens(nowMillis);
         return missing < LEAST_MISSING && waiting.isEmpty() ? 0 : Math.max(0, missing);
     }
 
     /** Hands over up to half of what this VM will not need soon, and one whole operation if there is one. */
-    double give(double wanted, long nowMillis) {
-        double spare = bucket.tokens(nowMillis) - wanted(nowMillis);
+    double withdrawUnused(double wanted, long nowMillis) {
+        double spare = bucket.tokens(nowMillis) - targetTokens(nowMillis);
         return spare <= 0 ? 0 : bucket.withdraw(Math.min(wanted, Math.max(spare / 2, Math.min(1, spare))), nowMillis);
     }
 
-    void take(double tokens, long nowMillis) {
+    void deposit(double tokens, long nowMillis) {
         // More than is missing is asked for, so twice as much may arrive; none of it may be lost.
-        double limit = Math.max(bucket.burst(), 2 * wanted(nowMillis) + 1);
+        double limit = Math.max(bucket.burst(), 2 * targetTokens(nowMillis) + 1);
         bucket.deposit(tokens, limit, nowMillis);
-        settle(nowMillis);
+        processWaiting(nowMillis);
     }
 
     /** Operations to have at hand: for what waits, for the demand of a while, and one for its variation. */
-    private double wanted(long nowMillis) {
+    private double targetTokens(long nowMillis) {
         decayDemand(nowMillis);
         double ahead = demandPerMilli * AHEAD_MILLIS;
         boolean large = ahead > SMALL_DEMAND;
@@ -162,7 +162,7 @@
     }
 
     private long retryAfterMillis(long nowMillis) {
-        return bucket.untilTokenMillis(nowMillis, MAX_RETRY_MILLIS);
+        return bucket.millisUntilToken(nowMillis, MAX_RETRY_MILLIS);
     }
 
     private void decayDemand(long nowMillis) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/SingleStatement.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/AutocommitStatement.java
@@ -6,8 +6,8 @@
 import org.hyssopswitch.pool.endpoint.ReplyHandler;
 import org.hyssopswitch.pool.statement.EndpointCommand;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Outcome;
 import org.hyssopswitch.pool.statement.Reply;
+import org.hyssopswitch.pool.statement.StatementOutcome;
 
 /**
  * A statement outside a transaction.
@@ -16,12 +16,12 @@
  * did not run. A read that must see every commit runs inside a transaction of the VM's own, because only the start of a
  * transaction proves that the endpoint is still the primary.
  */
-final class SingleStatement extends Operation {
+final class AutocommitStatement extends CallerOperation {
 
     /** Attempts per statement: one per endpoint of a group of three, and a last one at the primary. */
     private static final int MAX_ATTEMPTS = 4;
 
-    private final Executable statement;
+    private final ExecutableStatement statement;
     private final long startedMillis;
     private Option<PooledConnection> running = Option.none();
     private long runningSinceMillis;
@@ -29,7 +29,7 @@
     private boolean hedged;
     private boolean done;
 
-    SingleStatement(CallerSession session, Authorization authorization, Executable statement) {
+    AutocommitStatement(CallerSession session, Authorization authorization, ExecutableStatement statement) {
         super(session, authorization, statement.write());
         this.statement = statement;
         this.startedMillis = session.nowMillis();
@@ -44,7 +44,7 @@
         attempts++;
         running = Option.some(connection);
         runningSinceMillis = session().nowMillis();
-        connection.adopt(session().values(), statement.shape());
+        connection.applySession(session().values(), statement.shape());
         if (statement.write() || floor.isDefined()) {
             connection.send(statement.command(floor), new Answer(connection, false));
         } else {
@@ -102,7 +102,7 @@
         if (late || attempts >= MAX_ATTEMPTS) {
             fail(code, reason);
         } else {
-            session().retried(tried, code, attempts);
+            session().logRetry(tried, code, attempts);
             submit();
         }
     }
@@ -114,7 +114,7 @@
     private void fail(ErrorCode code, String reason) {
         if (!done) {
             done = true;
-            session().finished(new Outcome.Failed(code, reason), Option.none());
+            session().completeStatement(new StatementOutcome.Failed(code, reason), Option.none());
         }
     }
 
@@ -126,18 +126,18 @@
         if (statement.write()) {
             reply.position().forEach(session()::raiseFloor);
         }
-        session().finished(reply);
+        session().completeStatement(reply);
     }
 
     /** Decides on an error that an endpoint reported. */
-    private void failed(PooledConnection connection, ErrorCode code, String text) {
+    private void handleError(PooledConnection connection, ErrorCode code, String text) {
         switch (code) {
             case READ_ONLY -> {
-                connection.notPrimary();
+                connection.reportNotPrimary();
                 retryOrFail(ErrorCode.OVERLOADED, "the endpoint is no longer the primary");
             }
             case STATEMENT_UNKNOWN -> {
-                connection.forgetPrepared();
+                connection.clearPrepared();
                 retryOrFail(ErrorCode.OVERLOADED, "the endpoint lost the prepared statement");
             }
             case OVERLOADED, LAGGING -> {
@@ -172,10 +172,10 @@
                 connection.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
             }
             if (reply.succeeded() && statement.write()) {
-                reply.position().forEach(position -> connection.provenPrimary(runningSinceMillis, position));
+                reply.position().forEach(position -> connection.reportPrimary(runningSinceMillis, position));
             }
-            if (reply.outcome() instanceof Outcome.Failed error) {
-                failed(connection, error.code(), error.text());
+            if (reply.outcome() instanceof StatementOutcome.Failed error) {
+                handleError(connection, error.code(), error.text());
             } else {
                 succeed(reply);
             }
@@ -183,7 +183,7 @@
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             if (statement.write()) {
                 fail(
                         ErrorCode.IN_DOUBT,
@@ -208,17 +208,17 @@
 
         @Override
         public void replied(Reply reply) {
-            if (reply.outcome() instanceof Outcome.Failed error) {
+            if (reply.outcome() instanceof StatementOutcome.Failed error) {
                 connection.release();
-                failed(connection, error.code(), error.text());
+                handleError(connection, error.code(), error.text());
                 return;
             }
-            reply.position().forEach(position -> connection.provenPrimary(askedMillis, position));
+            reply.position().forEach(position -> connection.reportPrimary(askedMillis, position));
             connection.send(statement.command(Option.none()), new Answer(connection, true));
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             retryOrFail(ErrorCode.OVERLOADED, "the connection to the endpoint broke");
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerLink.java
@@ -7,7 +7,7 @@
 public interface CallerLink {
 
     /** Tells the caller that the session is open. */
-    void greet();
+    void acceptSession();
 
     /**
      * Answers a statement.
@@ -22,7 +22,7 @@
      * @param code why
      * @param text one line for people
      */
-    void refuse(ErrorCode code, String text);
+    void refuseSession(ErrorCode code, String text);
 
     /** Closes the connection. */
     void close();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Operation.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
@@ -5,10 +5,10 @@
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.pool.catalog.Account;
 import org.hyssopswitch.pool.catalog.Route;
-import org.hyssopswitch.pool.endpoint.Work;
+import org.hyssopswitch.pool.endpoint.ConnectionRequest;
 
 /** What a single statement and a transaction have in common while they wait for an endpoint. */
-abstract class Operation implements Work {
+abstract class CallerOperation implements ConnectionRequest {
 
     /** Part of the latency objective for which an operation waits when no endpoint could run it. */
     private static final double UNSERVABLE_WAIT_PART = 0.2;
@@ -20,11 +20,11 @@
     private final boolean primaryOnly;
     private long assignBeforeMillis;
 
-    Operation(CallerSession session, Authorization authorization, boolean primaryOnly) {
+    CallerOperation(CallerSession session, Authorization authorization, boolean primaryOnly) {
         this.session = session;
         this.route = authorization.route();
         this.account = authorization.account();
-        this.primaryOnly = primaryOnly || !route.replicaReads();
+        this.primaryOnly = primaryOnly || !route.allowsReplicaReads();
     }
 
     @Override
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public final long assignBeforeMillis() {
+    public final long assignmentDeadlineMillis() {
         return assignBeforeMillis;
     }
 
     @Override
-    public final long unservableWaitMillis() {
+    public final long unavailableWaitMillis() {
         return Math.round(route.objectiveMillis() * UNSERVABLE_WAIT_PART);
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerSession.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerSession.java
@@ -14,11 +14,11 @@
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Route;
 import org.hyssopswitch.pool.quota.AccountLimiter;
+import org.hyssopswitch.pool.statement.CallerStatement;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Outcome;
 import org.hyssopswitch.pool.statement.PreparedShape;
 import org.hyssopswitch.pool.statement.Reply;
-import org.hyssopswitch.pool.statement.Statement;
+import org.hyssopswitch.pool.statement.StatementOutcome;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
 /** The session of one caller: answers its statements one at a time, in order. */
@@ -47,8 +47,8 @@
     private boolean busy;
     private long requestSinceMillis;
     private Option<Request> request = Option.none();
-    private Option<SingleStatement> single = Option.none();
-    private Option<Transaction> transaction = Option.none();
+    private Option<AutocommitStatement> single = Option.none();
+    private Option<CallerTransaction> transaction = Option.none();
     private LogPosition floor = LogPosition.ZERO;
 
     CallerSession(Sessions sessions, CallerLink link) {
@@ -65,8 +65,8 @@
     public void start(String requestedDatabase, String presentedKey) {
         database = requestedDatabase;
         key = presentedKey;
-        if (sessions.configured()) {
-            open();
+        if (sessions.hasConfiguration()) {
+            openOrRefuse();
         } else {
             startedMillis = nowMillis();
             starting = true;
@@ -74,14 +74,14 @@
     }
 
     /** Opens or refuses the session under the configuration in force. */
-    void open() {
+    void openOrRefuse() {
         starting = false;
         Either<ErrorCode, Authorization> authorization = authorize();
         if (open || authorization.isLeft()) {
             ErrorCode code = open ? ErrorCode.MALFORMED : authorization.getLeft();
             sessions.log().sessionRefused(database, code, sessions.catalog().version());
             closed = true;
-            link.refuse(
+            link.refuseSession(
                     code,
                     "the session is refused under configuration "
                             + sessions.catalog().version());
@@ -89,8 +89,8 @@
             return;
         }
         open = true;
-        sessions.prefetch(new Transaction(this, authorization.get(), true), false);
-        link.greet();
+        sessions.prefetch(new CallerTransaction(this, authorization.get(), true), false);
+        link.acceptSession();
     }
 
     /**
@@ -99,7 +99,7 @@
      * @param id the caller's identifier of it
      * @param statement the statement
      */
-    public void query(String id, Statement statement) {
+    public void statementReceived(String id, CallerStatement statement) {
         if (closed) {
             return;
         }
@@ -108,15 +108,15 @@
             return;
         }
         pipeline.addLast(new Request(id, statement));
-        next();
+        runNext();
     }
 
     /** The caller ended the session or its connection broke. */
     public void disconnected() {
         if (!closed) {
             closed = true;
-            single.forEach(SingleStatement::abandon);
-            transaction.forEach(Transaction::abandon);
+            single.forEach(AutocommitStatement::abandon);
+            transaction.forEach(CallerTransaction::abandon);
             sessions.remove(this);
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /** Whether the caller waits for nothing and is outside a transaction. */
-    boolean idle() {
+    boolean isIdle() {
         return !busy && !starting && transaction.isEmpty();
     }
 
@@ -140,8 +140,8 @@
     }
 
     void tick(long nowMillis) {
-        if (starting && sessions.configured()) {
-            open();
+        if (starting && sessions.hasConfiguration()) {
+            openOrRefuse();
         } else if (starting && nowMillis - startedMillis > START_WAIT_MILLIS) {
             close();
         }
@@ -173,30 +173,30 @@
         floor = floor.max(position);
     }
 
-    void submit(Operation operation) {
+    void submit(CallerOperation operation) {
         sessions.submit(operation);
     }
 
     /** Logs that the current statement is tried again. */
-    void retried(String endpointId, ErrorCode code, int attempt) {
-        request.forEach(current -> sessions.log().retried(current.id(), endpointId, code, attempt));
+    void logRetry(String endpointId, ErrorCode code, int attempt) {
+        request.forEach(current -> sessions.log().requestRetried(current.id(), endpointId, code, attempt));
     }
 
-    void transactionOver() {
+    void clearTransaction() {
         transaction = Option.none();
     }
 
     /** Passes an endpoint's answer on. */
-    void finished(Reply reply) {
-        send(new Reply(reply.rows(), reply.outcome(), status(), reply.position()));
+    void completeStatement(Reply reply) {
+        sendReply(new Reply(reply.rows(), reply.outcome(), status(), reply.position()));
     }
 
     /** Answers the current statement. */
-    void finished(Outcome outcome, Option<LogPosition> position) {
-        send(new Reply(List.of(), outcome, status(), position));
+    void completeStatement(StatementOutcome outcome, Option<LogPosition> position) {
+        sendReply(new Reply(List.of(), outcome, status(), position));
     }
 
-    private void send(Reply reply) {
+    private void sendReply(Reply reply) {
         single = Option.none();
         busy = false;
         long took = nowMillis() - requestSinceMillis;
@@ -205,7 +205,7 @@
             String account =
                     known.map(authorization -> authorization.account().name()).getOrElse("unknown");
             sessions.log()
-                    .answered(
+                    .requestCompleted(
                             new RequestLog.RequestContext(
                                     ended.id(),
                                     database,
@@ -213,22 +213,22 @@
                                     sessions.catalog().version()),
                             reply,
                             took);
-            sessions.metrics().answered(known, reply, took);
+            sessions.metrics().recordRequest(known, reply, took);
         });
         request = Option.none();
         if (!closed) {
             link.reply(reply);
-            next();
+            runNext();
         }
     }
 
     private TransactionStatus status() {
         return transaction
-                .map(open -> open.failed() ? TransactionStatus.FAILED : TransactionStatus.OPEN)
+                .map(open -> open.isFailed() ? TransactionStatus.FAILED : TransactionStatus.OPEN)
                 .getOrElse(TransactionStatus.IDLE);
     }
 
-    private void next() {
+    private void runNext() {
         if (busy || closed || pipeline.isEmpty()) {
             return;
         }
@@ -236,100 +236,100 @@
         busy = true;
         requestSinceMillis = nowMillis();
         request = Option.some(following);
-        run(following);
+        dispatch(following);
     }
 
-    private void run(Request following) {
-        Statement statement = following.statement();
-        if (transaction.exists(Transaction::failed) && !endsTransaction(statement)) {
+    private void dispatch(Request following) {
+        CallerStatement statement = following.statement();
+        if (transaction.exists(CallerTransaction::isFailed) && !endsTransaction(statement)) {
             Option<String> cause = transaction.get().takeAbortCause();
             fail(
                     cause.isDefined() ? ErrorCode.ABORTED : ErrorCode.MALFORMED,
                     cause.getOrElse("the transaction failed"));
-        } else if (statement instanceof Statement.Begin begin) {
+        } else if (statement instanceof CallerStatement.Begin begin) {
             begin(begin);
-        } else if (statement instanceof Statement.Commit commit) {
+        } else if (statement instanceof CallerStatement.Commit commit) {
             commit(following.id(), commit);
-        } else if (statement instanceof Statement.Rollback) {
-            transaction.filter(running -> !running.failed()).forEach(Transaction::rollback);
+        } else if (statement instanceof CallerStatement.Rollback) {
+            transaction.filter(running -> !running.isFailed()).forEach(CallerTransaction::rollback);
             transaction = Option.none();
             succeed();
-        } else if (statement instanceof Statement.SetValue set) {
+        } else if (statement instanceof CallerStatement.SetValue set) {
             values.put(set.name(), set.value());
             succeed();
-        } else if (statement instanceof Statement.Prepare prepare) {
+        } else if (statement instanceof CallerStatement.Prepare prepare) {
             prepared.put(prepare.name(), prepare.shape());
             succeed();
-        } else if (statement instanceof Statement.Deallocate deallocate) {
+        } else if (statement instanceof CallerStatement.Deallocate deallocate) {
             prepared.remove(deallocate.name());
             succeed();
-        } else if (statement instanceof Statement.Malformed malformed) {
+        } else if (statement instanceof CallerStatement.Malformed malformed) {
             fail(ErrorCode.MALFORMED, malformed.reason());
         } else {
-            executable(following.id(), statement)
+            toExecutable(following.id(), statement)
                     .peek(this::execute)
                     .peekLeft(reason -> fail(ErrorCode.STATEMENT_UNKNOWN, reason));
         }
     }
 
-    private static boolean endsTransaction(Statement statement) {
-        return statement instanceof Statement.Commit || statement instanceof Statement.Rollback;
+    private static boolean endsTransaction(CallerStatement statement) {
+        return statement instanceof CallerStatement.Commit || statement instanceof CallerStatement.Rollback;
     }
 
-    private Either<String, Executable> executable(String id, Statement statement) {
-        if (statement instanceof Statement.Read read) {
-            return Either.right(new Executable(id, read.text(), Option.none(), false));
+    private Either<String, ExecutableStatement> toExecutable(String id, CallerStatement statement) {
+        if (statement instanceof CallerStatement.Read read) {
+            return Either.right(new ExecutableStatement(id, read.text(), Option.none(), false));
         }
-        if (statement instanceof Statement.Write write) {
-            return Either.right(new Executable(id, write.text(), Option.none(), true));
+        if (statement instanceof CallerStatement.Write write) {
+            return Either.right(new ExecutableStatement(id, write.text(), Option.none(), true));
         }
-        Statement.Execute execute = (Statement.Execute) statement;
+        CallerStatement.Execute execute = (CallerStatement.Execute) statement;
         return Option.of(prepared.get(execute.name()))
-                .map(shape -> new Executable(id, execute.arguments(), Option.some(shape), shape.write()))
+                .map(shape -> new ExecutableStatement(id, execute.arguments(), Option.some(shape), shape.write()))
                 .toEither("no statement is prepared under this name");
     }
 
-    private void begin(Statement.Begin begin) {
+    private void begin(CallerStatement.Begin begin) {
         if (transaction.isDefined()) {
             fail(ErrorCode.MALFORMED, "a transaction is open");
             return;
         }
         admit(authorization -> {
-            transaction = Option.some(new Transaction(this, authorization, begin.readOnly()));
+            transaction = Option.some(new CallerTransaction(this, authorization, begin.readOnly()));
             sessions.prefetch(transaction.get(), true);
             succeed();
         });
     }
 
-    private void commit(String id, Statement.Commit commit) {
+    private void commit(String id, CallerStatement.Commit commit) {
         if (transaction.isEmpty()) {
             fail(ErrorCode.MALFORMED, "no transaction is open");
-        } else if (transaction.get().failed()) {
+        } else if (transaction.get().isFailed()) {
             transaction = Option.none();
             fail(ErrorCode.ABORTED, "the transaction was rolled back");
-        } else if (keyHolds()) {
-            transaction.get().commit(new Executable(id, commit.text(), Option.none(), false));
+        } else if (checkKey()) {
+            transaction.get().commit(new ExecutableStatement(id, commit.text(), Option.none(), false));
         }
     }
 
-    private void execute(Executable statement) {
+    private void execute(ExecutableStatement statement) {
         if (transaction.isDefined()) {
-            if (keyHolds()) {
+            if (checkKey()) {
                 transaction.get().execute(statement);
             }
             return;
         }
         admit(authorization -> {
-            single = Option.some(new SingleStatement(this, authorization, statement));
+            single = Option.some(new AutocommitStatement(this, authorization, statement));
             single.get().submit();
         });
     }
 
     /** Ends the open transaction when the caller's key has been withdrawn. */
-    private boolean keyHolds() {
+    private boolean checkKey() {
         Catalog catalog = sessions.catalog();
-        boolean holds = catalog.account(key).isDefined()
-                || catalog.route(database).exists(Route::open)
+        boolean holds = catalog.findAccount(key).isDefined()
+                || catalog.findRoute(database).exists(Route::open)
                 || transaction.exists(open -> open.route().open());
         if (!holds) {
             transaction.get().rollback();
@@ -353,22 +353,22 @@
 
     private Either<ErrorCode, Authorization> authorize() {
         Catalog catalog = sessions.catalog();
-        Option<Route> route = catalog.route(database);
+        Option<Route> route = catalog.findRoute(database);
         if (route.isEmpty()) {
             return Either.left(ErrorCode.DATABASE_UNKNOWN);
         }
-        return catalog.account(key)
+        return catalog.findAccount(key)
                 .orElse(() -> route.filter(Route::open).map(open -> Account.ANONYMOUS))
                 .map(account -> new Authorization(route.get(), account))
                 .toEither(ErrorCode.KEY_UNKNOWN);
     }
 
     private void succeed() {
-        finished(Outcome.Success.LOCAL, Option.none());
+        completeStatement(StatementOutcome.Success.LOCAL, Option.none());
     }
 
     private void fail(ErrorCode code, String reason) {
-        finished(new Outcome.Failed(code, reason), Option.none());
+        completeStatement(new StatementOutcome.Failed(code, reason), Option.none());
     }
 
     private final class RateAdmission implements AccountLimiter.Admission {
@@ -395,10 +395,10 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean isPending() {
             return !closed;
         }
     }
 
-    private record Request(String id, Statement statement) {}
+    private record Request(String id, CallerStatement statement) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Transaction.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerTransaction.java
@@ -6,8 +6,8 @@
 import org.hyssopswitch.pool.endpoint.ReplyHandler;
 import org.hyssopswitch.pool.statement.EndpointCommand;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Outcome;
 import org.hyssopswitch.pool.statement.Reply;
+import org.hyssopswitch.pool.statement.StatementOutcome;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
 /**
@@ -16,13 +16,13 @@
  * <p>Until the first statement has succeeded, the transaction may move to another endpoint; afterwards the loss of its
  * connection ends it.
  */
-final class Transaction extends Operation {
+final class CallerTransaction extends CallerOperation {
 
     /** Attempts to start: one per endpoint of a group of three, and a last one at the primary. */
     private static final int MAX_ATTEMPTS = 4;
 
     private Option<PooledConnection> connection = Option.none();
-    private Option<Executable> current = Option.none();
+    private Option<ExecutableStatement> current = Option.none();
     private boolean committing;
     private boolean settled;
     private boolean wrote;
@@ -32,13 +32,13 @@
     private long statementSinceMillis;
     private long idleSinceMillis;
 
-    Transaction(CallerSession session, Authorization authorization, boolean readOnly) {
+    CallerTransaction(CallerSession session, Authorization authorization, boolean readOnly) {
         super(session, authorization, !readOnly);
         this.idleSinceMillis = session.nowMillis();
     }
 
     /** Whether the transaction can only be ended. */
-    boolean failed() {
+    boolean isFailed() {
         return ended;
     }
 
@@ -49,18 +49,18 @@
         return cause;
     }
 
-    void execute(Executable statement) {
+    void execute(ExecutableStatement statement) {
         current = Option.some(statement);
         statementSinceMillis = session().nowMillis();
         if (connection.isDefined()) {
-            connection.get().adopt(session().values(), statement.shape());
+            connection.get().applySession(session().values(), statement.shape());
             connection.get().send(statement.command(Option.none()), new StatementAnswer(connection.get()));
         } else {
             submit();
         }
     }
 
-    void commit(Executable statement) {
+    void commit(ExecutableStatement statement) {
         committing = true;
         execute(statement);
     }
@@ -83,7 +83,7 @@
         }
         attempts++;
         connection = Option.some(assigned);
-        assigned.adopt(session().values(), current.get().shape());
+        assigned.applySession(session().values(), current.get().shape());
         boolean proof = floor.isEmpty();
         assigned.send(new EndpointCommand.Begin(!proof, floor), new BeginAnswer(assigned, proof));
     }
@@ -91,7 +91,7 @@
     @Override
     public void refused(ErrorCode code, String reason) {
         if (!ended) {
-            end(ErrorCode.ABORTED, reason);
+            fail(ErrorCode.ABORTED, reason);
         }
     }
 
@@ -102,7 +102,7 @@
         }
         if (current.isDefined() && nowMillis - statementSinceMillis >= route().timeoutMillis()) {
             boolean unknown = committing && connection.isDefined() && wrote;
-            end(
+            fail(
                     unknown ? ErrorCode.TIMEOUT : ErrorCode.ABORTED,
                     "no answer from endpoint " + endpointId() + " within the route's timeout");
         } else if (current.isEmpty()
@@ -128,86 +128,86 @@
     }
 
     /** Ends the transaction and answers the current statement. */
-    private void end(ErrorCode code, String reason) {
+    private void fail(ErrorCode code, String reason) {
         boolean commit = committing;
         ended = true;
         current = Option.none();
         connection.forEach(PooledConnection::discard);
         connection = Option.none();
         if (commit) {
-            session().transactionOver();
+            session().clearTransaction();
         }
-        session().finished(new Outcome.Failed(code, reason), Option.none());
+        session().completeStatement(new StatementOutcome.Failed(code, reason), Option.none());
     }
 
     private String endpointId() {
         return connection.map(PooledConnection::endpointId).getOrElse("none");
     }
 
-    private void startAgain(ErrorCode code, String reason) {
+    private void retryOrFail(ErrorCode code, String reason) {
         String tried = endpointId();
         connection = Option.none();
         boolean late = session().nowMillis() - statementSinceMillis >= route().timeoutMillis();
         if (late || attempts >= MAX_ATTEMPTS) {
-            end(ErrorCode.ABORTED, reason + " (" + code + ")");
+            fail(ErrorCode.ABORTED, reason + " (" + code + ")");
         } else {
-            session().retried(tried, code, attempts);
+            session().logRetry(tried, code, attempts);
             submit();
         }
     }
 
-    private void completed(Reply reply) {
+    private void statementCompleted(Reply reply) {
         current = Option.none();
         idleSinceMillis = session().nowMillis();
         settled = true;
         if (committing) {
-            committed(reply);
+            commitCompleted(reply);
         }
-        session().finished(reply);
+        session().completeStatement(reply);
     }
 
-    private void committed(Reply reply) {
+    private void commitCompleted(Reply reply) {
         ended = true;
         if (wrote) {
             reply.position().forEach(session()::raiseFloor);
         }
         connection.forEach(PooledConnection::release);
         connection = Option.none();
-        session().transactionOver();
+        session().clearTransaction();
     }
 
     /** Decides on an error that the endpoint reported for a statement. */
-    private void statementFailed(PooledConnection on, Outcome.Failed error) {
-        boolean movable = !settled && current.exists(statement -> !statement.write() || nothingRan(error.code()));
+    private void handleStatementError(PooledConnection on, StatementOutcome.Failed error) {
+        boolean movable = !settled && current.exists(statement -> !statement.write() || wasNotExecuted(error.code()));
         if (error.code() == ErrorCode.READ_ONLY && primaryOnly()) {
-            on.notPrimary();
+            on.reportNotPrimary();
         }
         if (error.code() == ErrorCode.STATEMENT_UNKNOWN) {
-            on.forgetPrepared();
+            on.clearPrepared();
         }
-        if (movable && nothingRan(error.code())) {
+        if (movable && wasNotExecuted(error.code())) {
             on.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
             on.release();
             exclude(on.endpointId());
-            startAgain(error.code(), error.text());
+            retryOrFail(error.code(), error.text());
             return;
         }
-        endAtEndpoint(on, error);
+        failAndRollBack(on, error);
     }
 
-    private void endAtEndpoint(PooledConnection on, Outcome.Failed error) {
+    private void failAndRollBack(PooledConnection on, StatementOutcome.Failed error) {
         ended = true;
         current = Option.none();
         connection = Option.none();
         if (committing) {
-            session().transactionOver();
+            session().clearTransaction();
         }
         on.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
         on.release();
-        session().finished(error, Option.none());
+        session().completeStatement(error, Option.none());
     }
 
-    private static boolean nothingRan(ErrorCode code) {
+    private static boolean wasNotExecuted(ErrorCode code) {
         return switch (code) {
             case OVERLOADED, LAGGING, READ_ONLY, STATEMENT_UNKNOWN -> true;
             default -> false;
@@ -231,26 +231,26 @@
             if (ended) {
                 return;
             }
-            if (reply.outcome() instanceof Outcome.Failed error) {
+            if (reply.outcome() instanceof StatementOutcome.Failed error) {
                 if (proof && error.code() == ErrorCode.READ_ONLY) {
-                    on.notPrimary();
+                    on.reportNotPrimary();
                 } else {
                     exclude(on.endpointId());
                 }
                 on.release();
-                startAgain(error.code(), error.text());
+                retryOrFail(error.code(), error.text());
                 return;
             }
             if (proof) {
-                reply.position().forEach(position -> on.provenPrimary(askedMillis, position));
+                reply.position().forEach(position -> on.reportPrimary(askedMillis, position));
             }
             on.send(current.get().command(Option.none()), new StatementAnswer(on));
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             if (!ended) {
-                startAgain(ErrorCode.ABORTED, "the connection to the endpoint broke");
+                retryOrFail(ErrorCode.ABORTED, "the connection to the endpoint broke");
             }
         }
     }
@@ -262,7 +262,7 @@
 
         StatementAnswer(PooledConnection on) {
             this.on = on;
-            wrote |= current.exists(Executable::write);
+            wrote |= current.exists(ExecutableStatement::write);
         }
 
         @Override
@@ -270,20 +270,20 @@
             if (ended) {
                 return;
             }
-            if (reply.outcome() instanceof Outcome.Failed error) {
-                statementFailed(on, error);
+            if (reply.outcome() instanceof StatementOutcome.Failed error) {
+                handleStatementError(on, error);
             } else if (!committing && reply.status() != TransactionStatus.OPEN) {
-                end(ErrorCode.ABORTED, "the endpoint ended the transaction");
+                fail(ErrorCode.ABORTED, "the endpoint ended the transaction");
             } else {
-                completed(reply);
+                statementCompleted(reply);
             }
         }
 
         @Override
-        public void lost() {
+        public void connectionLost() {
             if (!ended) {
                 boolean unknown = committing && wrote;
-                end(
+                fail(
                         unknown ? ErrorCode.IN_DOUBT : ErrorCode.ABORTED,
                         "the connection to endpoint " + on.endpointId() + " broke");
             }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Executable.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/ExecutableStatement.java
@@ -13,7 +13,7 @@
  * @param shape the prepared statement to execute
  * @param write whether it writes
  */
-record Executable(String id, String text, Option<PreparedShape> shape, boolean write) {
+record ExecutableStatement(String id, String text, Option<PreparedShape> shape, boolean write) {
 
     EndpointCommand command(Option<LogPosition> floor) {
         return shape.map(prepared -> (EndpointCommand) new EndpointCommand.Execute(id, prepared, text, floor))
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestLog.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestLog.java
@@ -4,8 +4,8 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Outcome;
 import org.hyssopswitch.pool.statement.Reply;
+import org.hyssopswitch.pool.statement.StatementOutcome;
 
 /** Writes one line for each request that fails, up to a number of lines a second. */
 public final class RequestLog {
@@ -32,13 +32,13 @@
     }
 
     void sessionRefused(String database, ErrorCode code, long version) {
-        if (permitted()) {
+        if (acquireLine()) {
             LOG.info("event=session_refused database={} code={} configuration={}", database, code, version);
         }
     }
 
-    void answered(RequestContext context, Reply reply, long tookMillis) {
-        if (reply.outcome() instanceof Outcome.Failed failed && permitted()) {
+    void requestCompleted(RequestContext context, Reply reply, long tookMillis) {
+        if (reply.outcome() instanceof StatementOutcome.Failed failed && acquireLine()) {
             LOG.info(
                     "event=request_failed request={} database={} account={} configuration={} code={} took_ms={}"
                             + " suppressed={} cause=\"{}\"",
@@ -54,8 +54,8 @@
         }
     }
 
-    void retried(String request, String endpoint, ErrorCode code, int attempt) {
-        if (permitted()) {
+    void requestRetried(String request, String endpoint, ErrorCode code, int attempt) {
+        if (acquireLine()) {
             LOG.info(
                     "event=request_retried request={} endpoint={} code={} attempt={}",
                     request,
@@ -65,7 +65,7 @@
         }
     }
 
-    private boolean permitted() {
+    private boolean acquireLine() {
         long now = clock.getAsLong();
         if (now - secondStartMillis >= SECOND_MILLIS) {
             secondStartMillis = now;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestMetrics.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestMetrics.java
@@ -25,13 +25,13 @@
         this.registry = registry;
     }
 
-    void answered(Option<Authorization> authorization, Reply reply, long tookMillis) {
+    void recordRequest(Option<Authorization> authorization, Reply reply, long tookMillis) {
         String outcome = reply.error().map(ErrorCode::name).getOrElse("OK");
         registry.counter("requests." + outcome).inc();
-        authorization.forEach(known -> latency(known).update(tookMillis));
+        authorization.forEach(known -> latencyHistogram(known).update(tookMillis));
     }
 
-    private Histogram latency(Authorization known) {
+    private Histogram latencyHistogram(Authorization known) {
         Route route = known.route();
         return registry.histogram(
                 "latency_ms." + known.account().name() + "." + route.consistency(),
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Route;
-import org.hyssopswitch.pool.endpoint.Groups;
+import org.hyssopswitch.pool.endpoint.DatabaseGroups;
 import org.hyssopswitch.pool.quota.AccountLimiter;
 import org.hyssopswitch.pool.statement.ErrorCode;
 
@@ -16,7 +16,7 @@
     /** Time without an answer after which a read is also sent to another endpoint, as a part of its objective. */
     private static final double HEDGE_PART_OF_OBJECTIVE = 0.5;
 
-    private final Groups groups;
+    private final DatabaseGroups groups;
     private final AccountLimiter limiter;
     private final RequestLog log;
     private final RequestMetrics metrics;
@@ -33,7 +33,8 @@
      * @param metrics counters and latencies of requests
      * @param clock milliseconds of the monotonic clock
      */
-    public Sessions(Groups groups, AccountLimiter limiter, RequestLog log, RequestMetrics metrics, LongSupplier clock) {
+    public Sessions(
+            DatabaseGroups groups, AccountLimiter limiter, RequestLog log, RequestMetrics metrics, LongSupplier clock) {
         this.groups = groups;
         this.limiter = limiter;
         this.log = log;
@@ -79,7 +80,7 @@
      * @param limit the greatest number to close
      */
     public void closeIdle(int limit) {
-        List.copyOf(open).stream().filter(CallerSession::idle).limit(limit).forEach(CallerSession::close);
+        List.copyOf(open).stream().filter(CallerSession::isIdle).limit(limit).forEach(CallerSession::close);
     }
 
     /**
@@ -92,7 +93,7 @@
     }
 
     /** Whether a configuration is in force. */
-    boolean configured() {
+    boolean hasConfiguration() {
         return catalog.version() >= 0;
     }
 
@@ -120,13 +121,13 @@
         return Math.round(route.objectiveMillis() * HEDGE_PART_OF_OBJECTIVE);
     }
 
-    void submit(Operation operation) {
+    void submit(CallerOperation operation) {
         groups.find(operation.route().group())
                 .peek(group -> group.submit(operation))
                 .onEmpty(() -> operation.refused(ErrorCode.OVERLOADED, "the group is not configured"));
     }
 
-    void prefetch(Operation operation, boolean evict) {
+    void prefetch(CallerOperation operation, boolean evict) {
         groups.find(operation.route().group()).forEach(group -> group.prefetch(operation, evict));
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/Statement.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/CallerStatement.java
@@ -1,38 +1,38 @@
 package org.hyssopswitch.pool.statement;
 
 /** A statement of a caller. */
-public sealed interface Statement {
+public sealed interface CallerStatement {
 
     /**
      * Starts a transaction.
      *
      * @param readOnly whether it only reads
      */
-    record Begin(boolean readOnly) implements Statement {}
+    record Begin(boolean readOnly) implements CallerStatement {}
 
     /**
      * Commits the transaction.
      *
      * @param text the statement as received
      */
-    record Commit(String text) implements Statement {}
+    record Commit(String text) implements CallerStatement {}
 
     /** Rolls the transaction back. */
-    record Rollback() implements Statement {}
+    record Rollback() implements CallerStatement {}
 
     /**
      * Reads an item.
      *
      * @param text the statement as received
      */
-    record Read(String text) implements Statement {}
+    record Read(String text) implements CallerStatement {}
 
     /**
      * Writes an item.
      *
      * @param text the statement as received
      */
-    record Write(String text) implements Statement {}
+    record Write(String text) implements CallerStatement {}
 
     /**
      * Sets a session value.
@@ -40,7 +40,7 @@
      * @param name its name
      * @param value its value
      */
-    record SetValue(String name, String value) implements Statement {}
+    record SetValue(String name, String value) implements CallerStatement {}
 
     /**
      * Prepares a statement.
@@ -48,7 +48,7 @@
      * @param name the caller's name for it
      * @param shape what it does
      */
-    record Prepare(String name, PreparedShape shape) implements Statement {}
+    record Prepare(String name, PreparedShape shape) implements CallerStatement {}
 
     /**
      * Executes a prepared statement.
@@ -56,19 +56,19 @@
      * @param name the caller's name for it
      * @param arguments the rest of the statement as received
      */
-    record Execute(String name, String arguments) implements Statement {}
+    record Execute(String name, String arguments) implements CallerStatement {}
 
     /**
      * Forgets a prepared statement.
      *
      * @param name the caller's name for it
      */
-    record Deallocate(String name) implements Statement {}
+    record Deallocate(String name) implements CallerStatement {}
 
     /**
      * A statement that cannot be read.
      *
      * @param reason what is wrong with it
      */
-    record Malformed(String reason) implements Statement {}
+    record Malformed(String reason) implements CallerStatement {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/ErrorCode.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/ErrorCode.java
@@ -38,7 +38,7 @@
     }
 
     /** Whether the code promises callers that nothing of their attempt is kept. */
-    public boolean nothingKept() {
+    public boolean guaranteesNoEffect() {
         return nothingKept;
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/Reply.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/Reply.java
@@ -12,7 +12,8 @@
  * @param status state of the session after it
  * @param position the log position that the endpoint reported
  */
-public record Reply(List<String> rows, Outcome outcome, TransactionStatus status, Option<LogPosition> position) {
+public record Reply(
+        List<String> rows, StatementOutcome outcome, TransactionStatus status, Option<LogPosition> position) {
 
     /** Copies the rows. */
     public Reply {
@@ -25,17 +26,17 @@
      * @param outcome how the statement ended
      * @param status state of the session after it
      */
-    public static Reply local(Outcome outcome, TransactionStatus status) {
+    public static Reply local(StatementOutcome outcome, TransactionStatus status) {
         return new Reply(List.of(), outcome, status, Option.none());
     }
 
     /** The error, if the statement failed. */
     public Option<ErrorCode> error() {
-        return outcome instanceof Outcome.Failed failed ? Option.some(failed.code()) : Option.none();
+        return outcome instanceof StatementOutcome.Failed failed ? Option.some(failed.code()) : Option.none();
     }
 
     /** Whether the statement succeeded. */
     public boolean succeeded() {
-        return outcome instanceof Outcome.Success;
+        return outcome instanceof StatementOutcome.Success;
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/Outcome.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/StatementOutcome.java
@@ -1,14 +1,14 @@
 package org.hyssopswitch.pool.statement;
 
 /** How a statement ended. */
-public sealed interface Outcome {
+public sealed interface StatementOutcome {
 
     /**
      * The statement succeeded.
      *
      * @param signature what the endpoint signed; {@code -} for statements that reach no endpoint
      */
-    record Success(String signature) implements Outcome {
+    record Success(String signature) implements StatementOutcome {
 
         /** The outcome of statements that the VM answers itself. */
         public static final Success LOCAL = new Success("-");
@@ -20,5 +20,5 @@
      * @param code why
      * @param text one line for people
      */
-    record Failed(ErrorCode code, String text) implements Outcome {}
+    record Failed(ErrorCode code, String text) implements StatementOutcome {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/Listing.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/Listing.java
@@ -9,7 +9,7 @@
  * @param revision revision of the store that they reflect
  * @param <T> what the objects hold
  */
-public record Listing<T>(List<Stored<T>> objects, long revision) {
+public record Listing<T>(List<VersionedObject<T>> objects, long revision) {
 
     /** Copies the list. */
     public Listing {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/ObjectTable.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/ObjectTable.java
@@ -34,7 +34,7 @@
      * @param name its name
      * @param done takes the object, or nothing when it does not exist
      */
-    void read(String name, Consumer<Either<StoreFailure, Option<Stored<T>>>> done);
+    void read(String name, Consumer<Either<StoreFailure, Option<VersionedObject<T>>>> done);
 
     /**
      * Writes one object under a condition.
@@ -44,5 +44,5 @@
      * @param value what it is to hold
      * @param done takes the object as written
      */
-    void write(String name, Option<Long> expected, T value, Consumer<Either<StoreFailure, Stored<T>>> done);
+    void write(String name, Option<Long> expected, T value, Consumer<Either<StoreFailure, VersionedObject<T>>> done);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
@@ -79,21 +79,21 @@
     }
 
     /** Whether the store answered the latest call. */
-    public boolean current() {
+    public boolean isCurrent() {
         return revision >= 0 && failures == 0;
     }
 
     private void list() {
-        table.list(false, this::listed);
+        table.list(false, this::handleListResult);
     }
 
-    private void listed(Either<StoreFailure, Listing<T>> result) {
+    private void handleListResult(Either<StoreFailure, Listing<T>> result) {
         if (result.isLeft()) {
             retry(result.getLeft(), this::list);
             return;
         }
         revision = result.get().revision();
-        succeeded();
+        callSucceeded();
         listener.listed(result.get());
         watch();
     }
@@ -103,10 +103,10 @@
         if (paused) {
             return;
         }
-        table.watch(revision, waitMillis, this::watched);
+        table.watch(revision, waitMillis, this::handleWatchResult);
     }
 
-    private void watched(Either<StoreFailure, Listing<T>> result) {
+    private void handleWatchResult(Either<StoreFailure, Listing<T>> result) {
         if (result.isLeft() && result.getLeft() instanceof StoreFailure.HistoryGone) {
             LOG.info("event=watch_restarted table={} revision={} cause=history_gone", name, revision);
             list();
@@ -114,7 +114,7 @@
             retry(result.getLeft(), this::watch);
         } else {
             revision = Math.max(revision, result.get().revision());
-            succeeded();
+            callSucceeded();
             if (!result.get().objects().isEmpty()) {
                 listener.changed(result.get());
             }
@@ -122,7 +122,7 @@
         }
     }
 
-    private void succeeded() {
+    private void callSucceeded() {
         if (failures > 0) {
             LOG.info(
                     "event=store_regained table={} failures={} away_ms={}",
@@ -130,7 +130,7 @@
                     failures,
                     clock.getAsLong() - failedSinceMillis);
             failures = 0;
-            listener.regained();
+            listener.storeRecovered();
         }
     }
 
@@ -165,6 +165,6 @@
         void changed(Listing<T> changes);
 
         /** The store answers again after a failure; called before what it answered. */
-        void regained();
+        void storeRecovered();
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/Stored.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/VersionedObject.java
@@ -10,4 +10,4 @@
  * @param value its value; nothing when it is removed or cannot be used
  * @param <T> what it holds
  */
-public record Stored<T>(String name, long revision, Option<T> value) {}
+public record VersionedObject<T>(String name, long revision, Option<T> value) {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/Fleet.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetMembership.java
@@ -24,11 +24,11 @@
 import org.hyssopswitch.pool.peer.PeerLinks;
 import org.hyssopswitch.pool.store.Listing;
 import org.hyssopswitch.pool.store.StoreFailure;
-import org.hyssopswitch.pool.store.Stored;
+import org.hyssopswitch.pool.store.VersionedObject;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /** Makes this VM known to the others through the store and keeps links to them. */
-final class Fleet {
+final class FleetMembership {
 
     private static final String SECRET = "secret";
     private static final int SECRET_BYTES = 24;
@@ -45,16 +45,16 @@
     /** Reads of the list of VMs at the shorter period. */
     private static final int START_LISTS = 6;
 
-    private static final Logger LOG = LogManager.getLogger(Fleet.class);
+    private static final Logger LOG = LogManager.getLogger(FleetMembership.class);
 
-    private final VmPorts ports;
+    private final VmDependencies ports;
     private final DecisionLoop loop;
     private final BiConsumer<String, PeerMessage> receiver;
     private final Consumer<PeerLinks> connected;
     private final Consumer<Map<String, String>> changed;
     private final Consumer<String> linkFailed;
     private Option<DefaultPeerLinks> links = Option.none();
-    private List<Stored<VmEntry>> listed = List.of();
+    private List<VersionedObject<VmEntry>> listed = List.of();
     private Map<String, String> dataCentres = Map.of();
     private int lists;
 
@@ -67,8 +67,8 @@
      * @param linkFailed told the name of a VM to which messages may have been lost
      * @param changed told the data centre of all VMs by name, this one included
      */
-    Fleet(
-            VmPorts ports,
+    FleetMembership(
+            VmDependencies ports,
             BiConsumer<String, PeerMessage> receiver,
             Consumer<PeerLinks> connected,
             Consumer<String> linkFailed,
@@ -90,7 +90,7 @@
         ports.secrets().read(SECRET, result -> {
             if (result.isLeft()) {
                 retry(result, this::readSecret);
-            } else if (result.get().flatMap(Stored::value).isDefined()) {
+            } else if (result.get().flatMap(VersionedObject::value).isDefined()) {
                 link(result.get().get().value().get());
             } else {
                 createSecret();
@@ -139,7 +139,7 @@
                     if (found.isLeft()) {
                         retry(found, () -> register(Option.none()));
                     } else {
-                        register(found.get().map(Stored::revision));
+                        register(found.get().map(VersionedObject::revision));
                     }
                 });
             } else {
@@ -166,7 +166,7 @@
     }
 
     private void listed(Listing<VmEntry> listing) {
-        List<Stored<VmEntry>> known = listing.objects().stream()
+        List<VersionedObject<VmEntry>> known = listing.objects().stream()
                 .filter(stored -> stored.value().isDefined())
                 .toList();
         Map<String, String> now = new HashMap<>();
@@ -185,7 +185,7 @@
         }
     }
 
-    private static Collection<VmAddress> addresses(List<Stored<VmEntry>> known) {
+    private static Collection<VmAddress> addresses(List<VersionedObject<VmEntry>> known) {
         return known.stream()
                 .map(stored -> address(stored.name(), stored.value().get()))
                 .toList();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
@@ -39,7 +39,7 @@
     }
 
     /** A message of a VM of another data centre has arrived. */
-    void heard(long nowMillis) {
+    void remoteMessageReceived(long nowMillis) {
         silentSinceMillis = nowMillis;
     }
 
@@ -66,7 +66,7 @@
         isolated = cutOff;
     }
 
-    boolean isolated() {
+    boolean isIsolated() {
         return isolated;
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/NoPeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/NoPeerLinks.java
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public void sendToSome(PeerMessage message) {
+    public void sendToSubset(PeerMessage message) {
         // No VM is known yet, so there is none to tell.
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/PoolVm.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/PoolVm.java
@@ -20,21 +20,21 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.catalog.EndpointDirectory;
 import org.hyssopswitch.pool.endpoint.DatabaseGroup;
+import org.hyssopswitch.pool.endpoint.DatabaseGroups;
 import org.hyssopswitch.pool.endpoint.GroupContext;
-import org.hyssopswitch.pool.endpoint.Groups;
-import org.hyssopswitch.pool.failover.PromotionSystem;
+import org.hyssopswitch.pool.failover.PrimaryFailover;
 import org.hyssopswitch.pool.lease.ConnectionBorrower;
 import org.hyssopswitch.pool.lease.ConnectionLender;
 import org.hyssopswitch.pool.peer.ConnectionShortage;
-import org.hyssopswitch.pool.peer.DutyPing;
-import org.hyssopswitch.pool.peer.DutyPong;
-import org.hyssopswitch.pool.peer.FollowAnswer;
-import org.hyssopswitch.pool.peer.FollowRequest;
+import org.hyssopswitch.pool.peer.LeadershipPing;
+import org.hyssopswitch.pool.peer.LeadershipPong;
 import org.hyssopswitch.pool.peer.LenderPing;
 import org.hyssopswitch.pool.peer.PeerLinks;
-import org.hyssopswitch.pool.peer.PrimaryReport;
-import org.hyssopswitch.pool.peer.TokenGift;
-import org.hyssopswitch.pool.peer.TokenNeed;
+import org.hyssopswitch.pool.peer.PrimaryUnreachableReport;
+import org.hyssopswitch.pool.peer.StoreSyncRequest;
+import org.hyssopswitch.pool.peer.StoreSyncResponse;
+import org.hyssopswitch.pool.peer.TokenRequest;
+import org.hyssopswitch.pool.peer.TokenTransfer;
 import org.hyssopswitch.pool.quota.AccountLimiter;
 import org.hyssopswitch.pool.session.RequestLog;
 import org.hyssopswitch.pool.session.RequestMetrics;
@@ -69,21 +69,21 @@
 
     private static final Logger LOG = LogManager.getLogger(PoolVm.class);
 
-    private final VmPorts ports;
+    private final VmDependencies ports;
     private final Random shuffle;
     private final MetricRegistry metrics = new MetricRegistry();
     private final DecisionLoop loop;
     private final EndpointDirectory directory;
     private final ConnectionBorrower borrower;
     private final ConnectionLender lender;
-    private final Groups groups;
+    private final DatabaseGroups groups;
     private final AccountLimiter limiter;
     private final Sessions sessions;
-    private final PromotionSystem promotions;
-    private final Fleet fleet;
+    private final PrimaryFailover promotions;
+    private final FleetMembership fleet;
     private final TableWatcher<Catalog> catalogs;
     private final TableWatcher<Endpoint> endpoints;
-    private final StoreFollower follower;
+    private final StoreSynchronizer follower;
     private final IsolationDetector isolation;
     private volatile Catalog catalog = Catalog.EMPTY;
     private volatile Set<String> vms = Set.of();
@@ -98,26 +98,27 @@
      *
      * @param ports its way to the outside
      */
-    public PoolVm(VmPorts ports) {
+    public PoolVm(VmDependencies ports) {
         this.ports = ports;
         this.loop = ports.loop();
         this.shuffle = new Random(ports.self().incarnation());
         this.directory = new EndpointDirectory(loop::nowMillis);
         this.peers = new NoPeerLinks();
         this.borrower = new ConnectionBorrower(ports.name(), peers, ports.random(), loop::nowMillis);
-        this.groups = new Groups(new GroupContext(
+        this.groups = new DatabaseGroups(new GroupContext(
                 ports.self().dataCentre(),
                 ports.connector(),
                 borrower,
                 ports.decoder(),
-                (group, endpoint) -> peers.sendToSome(new ConnectionShortage(group, endpoint)),
+                (group, endpoint) -> peers.sendToSubset(new ConnectionShortage(group, endpoint)),
                 loop::nowMillis,
                 ports.timeOfDay()));
         this.lender = new ConnectionLender(groups, peers, loop::nowMillis);
         this.limiter = new AccountLimiter(peers, loop::nowMillis);
-        this.promotions = new PromotionSystem(
+        this.promotions = new PrimaryFailover(
                 ports.name(), groups, ports.authority(), ports.duties(), loop, ports.random(), peers);
-        this.fleet = new Fleet(ports, this::received, this::connected, borrower::linkFailed, this::fleetChanged);
+        this.fleet =
+                new FleetMembership(ports, this::received, this::connected, borrower::linkFailed, this::fleetChanged);
         this.sessions = new Sessions(
                 groups, limiter, new RequestLog(loop::nowMillis), new RequestMetrics(metrics), loop::nowMillis);
         this.catalogs = new TableWatcher<>(
@@ -129,7 +130,7 @@
                 ports.random());
         this.endpoints = new TableWatcher<>(
                 "endpoints", ports.endpoints(), new EndpointListener(), ENDPOINTS_WAIT_MILLIS, loop, ports.random());
-        this.follower = new StoreFollower(ports.name(), new WatchedStore(), peers, loop::nowMillis);
+        this.follower = new StoreSynchronizer(ports.name(), new WatchedStore(), peers, loop::nowMillis);
         this.isolation = new IsolationDetector(this::pingOtherDataCentres, loop.nowMillis());
         metrics.gauge("sessions", () -> sessions::size);
         metrics.gauge("configuration_version", () -> () -> catalog.version());
@@ -155,7 +156,7 @@
     }
 
     /** Whether new callers may be sent here; may be read on any thread. */
-    public boolean ready() {
+    public boolean isReady() {
         return !draining && !isolated && endpointsRevision >= 0 && catalog.version() >= 0 && !vms.isEmpty();
     }
 
@@ -171,7 +172,12 @@
         loop.execute(() -> {
             LOG.info("event=drain_started sessions={} grace_ms={}", sessions.size(), graceMillis);
             lender.stop();
-            new DrainRun(loop, () -> sessions.size() + lender.size(), sessions, graceMillis, () -> done.complete(true))
+            new SessionDrain(
+                            loop,
+                            () -> sessions.size() + lender.leaseCount(),
+                            sessions,
+                            graceMillis,
+                            () -> done.complete(true))
                     .start();
         });
         return done;
@@ -179,7 +185,7 @@
 
     private void tick() {
         loop.schedule(TICK_MILLIS, this::tick);
-        if (directory.tick()) {
+        if (directory.removeExpired()) {
             apply();
         }
         limiter.tick();
@@ -195,7 +201,7 @@
     /** Has callers go to another data centre while this one is cut off from the others. */
     private void leaveIfIsolated(long now) {
         isolation.tick(remotePrimariesLost(), now);
-        isolated = isolation.isolated();
+        isolated = isolation.isIsolated();
         if (isolation.isolatedMillis(now) > UNREADY_MILLIS) {
             sessions.closeIdle(SESSIONS_CLOSED_PER_TICK);
         }
@@ -207,7 +213,8 @@
                 .toList();
         return !remote.isEmpty()
                 && remote.stream()
-                        .noneMatch(group -> group.reaches(group.primary().get().id()));
+                        .noneMatch(
+                                group -> group.isReachable(group.primary().get().id()));
     }
 
     private boolean isRemote(Endpoint endpoint) {
@@ -244,17 +251,19 @@
 
     private void received(String vm, PeerMessage message) {
         if (!ports.self().dataCentre().equals(dataCentres.get(vm))) {
-            isolation.heard(loop.nowMillis());
+            isolation.remoteMessageReceived(loop.nowMillis());
         }
-        if (message instanceof TokenNeed need) {
-            limiter.needReceived(vm, need);
-        } else if (message instanceof TokenGift gift) {
-            limiter.giftReceived(gift);
+        if (message instanceof TokenRequest need) {
+            limiter.tokenRequestReceived(vm, need);
+        } else if (message instanceof TokenTransfer gift) {
+            limiter.tokenTransferReceived(gift);
         } else if (message instanceof ConnectionShortage shortage) {
-            groups.find(shortage.group()).forEach(group -> group.yieldConnections(shortage.endpoint()));
-        } else if (message instanceof PrimaryReport || message instanceof DutyPing || message instanceof DutyPong) {
+            groups.find(shortage.group()).forEach(group -> group.releaseSurplusConnections(shortage.endpoint()));
+        } else if (message instanceof PrimaryUnreachableReport
+                || message instanceof LeadershipPing
+                || message instanceof LeadershipPong) {
             promotions.received(vm, message);
-        } else if (message instanceof FollowRequest || message instanceof FollowAnswer) {
+        } else if (message instanceof StoreSyncRequest || message instanceof StoreSyncResponse) {
             follower.received(vm, message);
         } else {
             borrower.received(vm, message);
@@ -276,8 +285,8 @@
         vms = dataCentres.keySet();
         borrower.update(dataCentres);
         follower.update(dataCentres);
-        promotions.candidate(follower.relay());
-        promotions.fleetSize(vms.size());
+        promotions.setCandidate(follower.isRelay());
+        promotions.setFleetSize(vms.size());
         apply();
     }
 
@@ -294,7 +303,7 @@
         }
 
         @Override
-        public void regained() {
+        public void storeRecovered() {
             // Versions only grow, so an outage needs no special care.
         }
     }
@@ -321,8 +330,8 @@
         }
 
         @Override
-        public void regained() {
-            directory.storeRegained();
+        public void storeRecovered() {
+            directory.storeRecovered();
         }
     }
 
@@ -345,17 +354,17 @@
         }
 
         @Override
-        public boolean current() {
-            return catalogs.current() && endpoints.current();
+        public boolean isCurrent() {
+            return catalogs.isCurrent() && endpoints.isCurrent();
         }
 
         @Override
-        public void takeCatalog(Catalog next) {
+        public void applyCatalog(Catalog next) {
             PoolVm.this.takeCatalog(next, "relay");
         }
 
         @Override
-        public void takeEndpoints(long revision, Collection<Endpoint> all) {
+        public void applyEndpoints(long revision, Collection<Endpoint> all) {
             if (revision >= endpointsRevision) {
                 LOG.info("event=endpoints_listed endpoints={} revision={} from=relay", all.size(), revision);
                 endpointsRevision = revision;
@@ -365,7 +374,7 @@
         }
 
         @Override
-        public void watch(boolean itself) {
+        public void setWatching(boolean itself) {
             if (itself) {
                 catalogs.resume();
                 endpoints.resume();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/DrainRun.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/SessionDrain.java
@@ -5,7 +5,7 @@
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /** Closes the sessions of a VM that is to stop, without cutting a request. */
-final class DrainRun {
+final class SessionDrain {
 
     /** Time in which the balancer notices that the VM is not ready, milliseconds: two probes of a second. */
     private static final long UNREADY_MILLIS = 2_200;
@@ -28,7 +28,7 @@
     private final Runnable done;
     private final long startMillis;
 
-    DrainRun(DecisionLoop loop, IntSupplier unfinished, Sessions sessions, long graceMillis, Runnable done) {
+    SessionDrain(DecisionLoop loop, IntSupplier unfinished, Sessions sessions, long graceMillis, Runnable done) {
         this.loop = loop;
         this.unfinished = unfinished;
         this.sessions = sessions;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreFollower.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
@@ -11,9 +11,9 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Endpoint;
-import org.hyssopswitch.pool.peer.FollowAnswer;
-import org.hyssopswitch.pool.peer.FollowRequest;
 import org.hyssopswitch.pool.peer.PeerLinks;
+import org.hyssopswitch.pool.peer.StoreSyncRequest;
+import org.hyssopswitch.pool.peer.StoreSyncResponse;
 
 /**
  * Follows the store through relays, so that its calls do not grow with the fleet.
@@ -21,7 +21,7 @@
  * <p>A few VMs of each data centre watch the store; the others ask them for news, and watch the store themselves only
  * while no relay that is in touch with it answers. In a small fleet all VMs watch the store.
  */
-final class StoreFollower {
+final class StoreSynchronizer {
 
     /** Largest fleet in which all VMs watch the store. */
     private static final int SMALL_FLEET = 8;
@@ -35,7 +35,7 @@
     /** Time without an answer of a relay that is in touch with the store, after which a VM watches it, milliseconds. */
     private static final long UNSERVED_MILLIS = 1_000;
 
-    private static final Logger LOG = LogManager.getLogger(StoreFollower.class);
+    private static final Logger LOG = LogManager.getLogger(StoreSynchronizer.class);
 
     private final String self;
     private final StoreView view;
@@ -48,7 +48,7 @@
     private long servedMillis;
     private int turn;
 
-    StoreFollower(String self, StoreView view, PeerLinks peers, LongSupplier clock) {
+    StoreSynchronizer(String self, StoreView view, PeerLinks peers, LongSupplier clock) {
         this.self = self;
         this.view = view;
         this.peers = peers;
@@ -75,7 +75,7 @@
     }
 
     /** Whether this VM watches the store for others, or all VMs do. */
-    boolean relay() {
+    boolean isRelay() {
         return relay;
     }
 
@@ -85,40 +85,40 @@
         if (!relays.isEmpty() && now - askedMillis >= ASK_PERIOD_MILLIS) {
             askedMillis = now;
             turn = (turn + 1) % relays.size();
-            peers.send(relays.get(turn), new FollowRequest(view.catalog().version(), digest(view.endpoints())));
+            peers.send(relays.get(turn), new StoreSyncRequest(view.catalog().version(), digest(view.endpoints())));
         }
         boolean needed = relay || now - servedMillis >= UNSERVED_MILLIS;
         if (needed != watching) {
             watching = needed;
             LOG.info("event=store_followed itself={} relay={} unserved_ms={}", needed, relay, now - servedMillis);
-            view.watch(needed);
+            view.setWatching(needed);
         }
     }
 
     void received(String vm, PeerMessage message) {
-        if (message instanceof FollowRequest request) {
+        if (message instanceof StoreSyncRequest request) {
             answer(vm, request);
-        } else if (message instanceof FollowAnswer answer) {
+        } else if (message instanceof StoreSyncResponse answer) {
             take(answer);
         }
     }
 
-    private void answer(String vm, FollowRequest request) {
+    private void answer(String vm, StoreSyncRequest request) {
         Catalog catalog = view.catalog();
         Collection<Endpoint> endpoints = view.endpoints();
         boolean listed = view.endpointsRevision() >= 0;
         peers.send(
                 vm,
-                new FollowAnswer(
-                        watching && listed && catalog.version() >= 0 && view.current(),
+                new StoreSyncResponse(
+                        watching && listed && catalog.version() >= 0 && view.isCurrent(),
                         Option.when(catalog.version() > request.catalogVersion(), catalog),
                         view.endpointsRevision(),
                         Option.when(listed && digest(endpoints) != request.endpointsDigest(), List.copyOf(endpoints))));
     }
 
-    private void take(FollowAnswer answer) {
-        answer.catalog().forEach(view::takeCatalog);
-        answer.endpoints().forEach(all -> view.takeEndpoints(answer.endpointsRevision(), all));
+    private void take(StoreSyncResponse answer) {
+        answer.catalog().forEach(view::applyCatalog);
+        answer.endpoints().forEach(all -> view.applyEndpoints(answer.endpointsRevision(), all));
         if (answer.current()) {
             servedMillis = clock.getAsLong();
         }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreView.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreView.java
@@ -17,14 +17,14 @@
     long endpointsRevision();
 
     /** Whether the store answered this VM's latest calls. */
-    boolean current();
+    boolean isCurrent();
 
     /** Takes a configuration; an older one than that in force is ignored. */
-    void takeCatalog(Catalog next);
+    void applyCatalog(Catalog next);
 
     /** Takes all endpoints of a store revision; an older list than the present one is ignored. */
-    void takeEndpoints(long revision, Collection<Endpoint> all);
+    void applyEndpoints(long revision, Collection<Endpoint> all);
 
     /** Begins or ceases to watch the store itself. */
-    void watch(boolean itself);
+    void setWatching(boolean itself);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmPorts.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.endpoint.EndpointConnector;
 import org.hyssopswitch.pool.endpoint.StatusDecoder;
-import org.hyssopswitch.pool.failover.DutyRecord;
+import org.hyssopswitch.pool.failover.LeadershipRecord;
 import org.hyssopswitch.pool.failover.PromotionAuthority;
 import org.hyssopswitch.pool.store.ObjectTable;
 import org.hyssopswitch.proxy.net.DecisionLoop;
@@ -28,7 +28,7 @@
  * @param authority orders promotions
  * @param decoder reads answers to status queries
  */
-public record VmPorts(
+public record VmDependencies(
         String name,
         VmEntry self,
         DecisionLoop loop,
@@ -39,6 +39,6 @@
         ObjectTable<Endpoint> endpoints,
         ObjectTable<VmEntry> vms,
         ObjectTable<FleetSecret> secrets,
-        ObjectTable<DutyRecord> duties,
+        ObjectTable<LeadershipRecord> duties,
         PromotionAuthority authority,
         StatusDecoder decoder) {}
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/catalog/EndpointDirectoryTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/catalog/EndpointDirectoryTests.java
@@ -24,23 +24,23 @@
     @Test
     void keepsAnEntryThatReturnsShortlyAfterTheStore() {
         directory.put(entry);
-        directory.storeRegained();
+        directory.storeRecovered();
         directory.replaceAll(Map.of());
         assertEquals(1, directory.endpoints().size());
         loop.advance(1_800);
         directory.put(entry);
         loop.advance(2_000);
-        assertFalse(directory.tick());
+        assertFalse(directory.removeExpired());
         assertEquals(1, directory.endpoints().size());
     }
 
     @Test
     void removesAnEntryThatIsStillMissingAfterTheStoresReturn() {
         directory.put(entry);
-        directory.storeRegained();
+        directory.storeRecovered();
         directory.replaceAll(Map.of());
         loop.advance(3_000);
-        assertTrue(directory.tick());
+        assertTrue(directory.removeExpired());
         assertTrue(directory.endpoints().isEmpty());
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/ConnectionUseTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/ConnectionUseTests.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.hyssopswitch.pool.catalog.Account;
-import org.hyssopswitch.pool.statement.Statement;
+import org.hyssopswitch.pool.statement.CallerStatement;
 import org.hyssopswitch.pool.testing.FakeCaller;
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
@@ -33,8 +33,8 @@
         }
         pool.advance(200);
         assertTrue(
-                pool.endpoint("e1").open() <= CONNECTIONS / VMS,
-                pool.endpoint("e1").open() + " open");
+                pool.endpoint("e1").openConnections() <= CONNECTIONS / VMS,
+                pool.endpoint("e1").openConnections() + " open");
     }
 
     @Test
@@ -43,32 +43,32 @@
         List<FakeCaller> callers = new ArrayList<>();
         for (int i = 0; i < ACCOUNTS; i++) {
             FakeCaller caller = new FakeCaller(pool.sessions(), TestPool.OWN, "key-" + i);
-            caller.send("b", new Statement.Begin(false));
+            caller.send("b", new CallerStatement.Begin(false));
             caller.write("w" + i);
             callers.add(caller);
         }
         pool.advance(150);
-        callers.forEach(caller -> assertTrue(caller.last().succeeded()));
-        assertEquals(ACCOUNTS, pool.endpoint("e1").open());
-        callers.forEach(caller -> caller.send("r", new Statement.Rollback()));
+        callers.forEach(caller -> assertTrue(caller.lastReply().succeeded()));
+        assertEquals(ACCOUNTS, pool.endpoint("e1").openConnections());
+        callers.forEach(caller -> caller.send("r", new CallerStatement.Rollback()));
         pool.advance(400);
         assertTrue(
-                pool.endpoint("e1").open() <= CONNECTIONS / VMS,
-                pool.endpoint("e1").open() + " open");
+                pool.endpoint("e1").openConnections() <= CONNECTIONS / VMS,
+                pool.endpoint("e1").openConnections() + " open");
     }
 
     @Test
     void reportsAShortageWhenItsShareIsRefused() {
         TestPool full = new TestPool(CONNECTIONS, VMS);
-        full.endpoint("e1").refuseConnections(true);
-        full.caller(TestPool.LATEST).read("r1");
+        full.endpoint("e1").setConnectionsExhausted(true);
+        full.connectCaller(TestPool.LATEST).read("r1");
         full.advance(200);
         assertTrue(full.shortages().contains("e1"));
-        full.endpoint("e1").refuseConnections(false);
-        FakeCaller later = full.caller(TestPool.LATEST);
+        full.endpoint("e1").setConnectionsExhausted(false);
+        FakeCaller later = full.connectCaller(TestPool.LATEST);
         later.read("r2");
         full.advance(200);
-        assertTrue(later.last().succeeded());
+        assertTrue(later.lastReply().succeeded());
     }
 
     private void configureAccounts() {
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/LostPrimaryTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/LostPrimaryTests.java
@@ -21,19 +21,19 @@
     private static final long REFUSAL_MILLIS = 50;
 
     private final TestPool pool = new TestPool(CONNECTIONS, VMS);
-    private final FakeCaller caller = pool.caller(TestPool.LATEST);
+    private final FakeCaller caller = pool.connectCaller(TestPool.LATEST);
 
     @Test
     void findsAPromotedPrimaryThatTheStoreDoesNotTellOf() {
         warmUp();
         pool.endpoint("e1").crash();
         pool.advance(1_000);
-        pool.endpoint("e3").primary(true);
-        pool.endpoint("e3").position(new LogPosition(2, 10));
+        pool.endpoint("e3").setPrimary(true);
+        pool.endpoint("e3").setPosition(new LogPosition(2, 10));
         pool.advance(300);
         caller.write("w1");
         pool.advance(100);
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
         assertEquals("e3", pool.group().primary().get().id());
     }
 
@@ -51,62 +51,62 @@
     @Test
     void refusesWritesThatWaitForASilentPrimarySoonAfterItsSilenceIsSeen() {
         warmUp();
-        pool.endpoint("e1").silent(true);
+        pool.endpoint("e1").setUnresponsive(true);
         caller.write("w1");
         pool.advance(400);
-        FakeCaller second = pool.caller(TestPool.LATEST);
+        FakeCaller second = pool.connectCaller(TestPool.LATEST);
         second.write("w2");
         pool.advance(REFUSAL_MILLIS);
         assertEquals(ErrorCode.OVERLOADED, second.lastError());
-        assertFalse(pool.endpoint("e1").ran().contains("w2"));
+        assertFalse(pool.endpoint("e1").executedStatements().contains("w2"));
     }
 
     @Test
     void doesNotTakeAPrimaryForSilentBecauseOneAnswerIsLate() {
         warmUp();
-        pool.endpoint("e1").workMillis(450);
+        pool.endpoint("e1").setWorkMillis(450);
         caller.write("w1");
         pool.advance(520);
-        assertTrue(pool.group().reaches("e1"));
-        assertTrue(caller.last().succeeded());
+        assertTrue(pool.group().isReachable("e1"));
+        assertTrue(caller.lastReply().succeeded());
     }
 
     @Test
     void asksAForeignProcessAtAnEndpointsAddressOnlyNowAndThen() {
         warmUp();
-        pool.endpoint("e1").foreign(true);
+        pool.endpoint("e1").setMisrouted(true);
         pool.endpoint("e1").breakConnections();
-        int before = pool.endpoint("e1").asked();
+        int before = pool.endpoint("e1").connectAttempts();
         for (int i = 0; i < 50; i++) {
             caller.write("w" + i);
             pool.advance(20);
         }
-        int asked = pool.endpoint("e1").asked() - before;
+        int asked = pool.endpoint("e1").connectAttempts() - before;
         assertTrue(asked <= 3, asked + " connections asked for");
-        assertFalse(pool.group().reaches("e1"));
+        assertFalse(pool.group().isReachable("e1"));
     }
 
     @Test
     void givesNoNewWorkToAnEndpointThatHasBeenStoppingForLong() {
         warmUp();
         Endpoint entry = pool.endpoint("e1").entry("group", "dc-e1", 7);
-        pool.list(
+        pool.updateEndpoint(
                 new Endpoint(
                         entry.id(), entry.group(), entry.host(), entry.port(), entry.dataCentre(), true, true, 1, 0, 7),
                 VMS);
         caller.write("w1");
         pool.advance(100);
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
         pool.advance(6_000);
         caller.write("w2");
         pool.advance(300);
         assertEquals(ErrorCode.OVERLOADED, caller.lastError());
-        assertFalse(pool.endpoint("e1").ran().contains("w2"));
+        assertFalse(pool.endpoint("e1").executedStatements().contains("w2"));
     }
 
     private void warmUp() {
         caller.read("warm");
         pool.advance(200);
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PositionSamplesTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PositionSamplesTests.java
@@ -32,8 +32,8 @@
         samples.add(1_100, new LogPosition(2, 40));
         samples.add(1_200, new LogPosition(1, 60));
         assertEquals(Option.some(new LogPosition(2, 40)), samples.floor(1_300, 1_000));
-        assertEquals(new LogPosition(2, 40), samples.translate(new LogPosition(1, 55)));
-        assertEquals(new LogPosition(2, 45), samples.translate(new LogPosition(2, 45)));
+        assertEquals(new LogPosition(2, 40), samples.toLatestTerm(new LogPosition(1, 55)));
+        assertEquals(new LogPosition(2, 45), samples.toLatestTerm(new LogPosition(2, 45)));
     }
 
     @Property(seed = "7", tries = 200)
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PrefetchTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PrefetchTests.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.hyssopswitch.pool.statement.Statement;
+import org.hyssopswitch.pool.statement.CallerStatement;
 import org.hyssopswitch.pool.testing.FakeCaller;
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
@@ -25,35 +25,35 @@
     @Test
     void opensAConnectionWhileTheCallerReadsTheAnswerToItsStart() {
         pool.advance(40);
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         pool.advance(ROUND_TRIP_MILLIS);
         caller.read("r1");
         pool.advance(ANSWERS_MILLIS);
         assertEquals(1, caller.replies().size());
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
     }
 
     @Test
     void opensAConnectionWhileTheCallerReadsTheAnswerToBegin() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
         pool.advance(100);
-        caller.send("b", new Statement.Begin(false));
+        caller.send("b", new CallerStatement.Begin(false));
         pool.advance(ROUND_TRIP_MILLIS);
         caller.write("w1");
         pool.advance(ANSWERS_MILLIS);
         assertEquals(2, caller.replies().size());
-        assertTrue(caller.last().succeeded());
-        assertEquals(1, pool.endpoint("e1").opened());
+        assertTrue(caller.lastReply().succeeded());
+        assertEquals(1, pool.endpoint("e1").openedConnections());
     }
 
     @Test
     void opensNothingWhileAConnectionOfTheAccountIsUnused() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         pool.advance(100);
         caller.read("r1");
         pool.advance(100);
-        pool.caller(TestPool.LATEST);
+        pool.connectCaller(TestPool.LATEST);
         pool.advance(100);
-        assertEquals(1, pool.endpoint("e1").opened());
+        assertEquals(1, pool.endpoint("e1").openedConnections());
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/SuspensionTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/SuspensionTests.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.hyssopswitch.core.position.LogPosition;
-import org.hyssopswitch.pool.statement.Statement;
+import org.hyssopswitch.pool.statement.CallerStatement;
 import org.hyssopswitch.pool.testing.FakeCaller;
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
@@ -17,37 +17,37 @@
 
     @Test
     void readsNoReplicaByAPositionFromBeforeASuspension() {
-        FakeCaller caller = pool.caller(TestPool.BOUNDED);
+        FakeCaller caller = pool.connectCaller(TestPool.BOUNDED);
         caller.read("r1");
         pool.advance(300);
         caller.read("r2");
         pool.advance(100);
         assertTrue(readAtReplicas("r2"));
         pool.suspend(SUSPENDED_MILLIS);
-        pool.endpoint("e1").position(new LogPosition(1, 20));
+        pool.endpoint("e1").setPosition(new LogPosition(1, 20));
         caller.read("r3");
         pool.advance(100);
-        assertTrue(caller.last().succeeded());
-        assertTrue(pool.endpoint("e1").ran().contains("r3"));
+        assertTrue(caller.lastReply().succeeded());
+        assertTrue(pool.endpoint("e1").executedStatements().contains("r3"));
     }
 
     @Test
     void takesNoPositionThatWasAskedForBeforeASuspension() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
-        caller.send("b", new Statement.Begin(false));
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
+        caller.send("b", new CallerStatement.Begin(false));
         caller.read("r1");
         pool.suspend(SUSPENDED_MILLIS);
         pool.advance(50);
-        FakeCaller reader = pool.caller(TestPool.BOUNDED);
-        pool.endpoint("e1").position(new LogPosition(1, 20));
+        FakeCaller reader = pool.connectCaller(TestPool.BOUNDED);
+        pool.endpoint("e1").setPosition(new LogPosition(1, 20));
         reader.read("r2");
         pool.advance(100);
-        assertTrue(pool.endpoint("e1").ran().contains("r2"));
+        assertTrue(pool.endpoint("e1").executedStatements().contains("r2"));
     }
 
     @Test
     void readsReplicasAgainOnceTheLogPositionIsKnownAnew() {
-        FakeCaller caller = pool.caller(TestPool.BOUNDED);
+        FakeCaller caller = pool.connectCaller(TestPool.BOUNDED);
         caller.read("r1");
         pool.suspend(SUSPENDED_MILLIS);
         pool.advance(1_000);
@@ -59,7 +59,7 @@
     }
 
     private boolean readAtReplicas(String id) {
-        return pool.endpoint("e2").ran().contains(id)
-                || pool.endpoint("e3").ran().contains(id);
+        return pool.endpoint("e2").executedStatements().contains(id)
+                || pool.endpoint("e3").executedStatements().contains(id);
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PromotionSystemTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PrimaryFailoverTests.java
@@ -11,31 +11,31 @@
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.peer.PeerLinks;
-import org.hyssopswitch.pool.peer.PrimaryReport;
+import org.hyssopswitch.pool.peer.PrimaryUnreachableReport;
 import org.hyssopswitch.pool.testing.FakeCaller;
-import org.hyssopswitch.pool.testing.FakePeers;
-import org.hyssopswitch.pool.testing.FakeTable;
+import org.hyssopswitch.pool.testing.FakeObjectTable;
+import org.hyssopswitch.pool.testing.FakePeerNetwork;
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
 /** A VM that holds the promotion duty, before a group whose primary fails or leaves. */
-class PromotionSystemTests {
+class PrimaryFailoverTests {
 
     private static final int VMS = 6;
     private static final long TICK_MILLIS = 20;
 
     private final TestPool pool = new TestPool(16, VMS);
-    private final FakePeers network = new FakePeers(pool.loop());
+    private final FakePeerNetwork network = new FakePeerNetwork(pool.loop());
     private final List<PromotionAuthority.Order> orders = new ArrayList<>();
-    private final FakeCaller caller = pool.caller(TestPool.LATEST);
+    private final FakeCaller caller = pool.connectCaller(TestPool.LATEST);
     private PromotionAuthority.Answer answer = PromotionAuthority.Answer.ACCEPTED;
-    private PromotionSystem system;
+    private PrimaryFailover system;
 
     @Test
     void promotesTheMostAdvancedReplicaOfACrashedPrimary() {
         start();
-        pool.endpoint("e2").position(new LogPosition(1, 12));
-        pool.endpoint("e3").position(new LogPosition(1, 15));
+        pool.endpoint("e2").setPosition(new LogPosition(1, 12));
+        pool.endpoint("e3").setPosition(new LogPosition(1, 15));
         pool.endpoint("e1").crash();
         reportFromOthers(2);
         pool.advance(500);
@@ -86,13 +86,13 @@
     void handsOverFromAPrimaryThatIsAboutToStop() {
         start();
         Endpoint entry = pool.endpoint("e1").entry("group", "dc-e1", 7);
-        pool.list(
+        pool.updateEndpoint(
                 new Endpoint(
                         entry.id(), entry.group(), entry.host(), entry.port(), entry.dataCentre(), true, true, 1, 0, 7),
                 VMS);
         pool.advance(500);
         assertEquals(1, promoted().size());
-        assertFalse(pool.endpoint("e1").leads());
+        assertFalse(pool.endpoint("e1").isPrimary());
     }
 
     @Test
@@ -135,22 +135,22 @@
 
     private void start() {
         PeerLinks links = network.join("vm-1", (from, message) -> system.received(from, message));
-        system = new PromotionSystem(
+        system = new PrimaryFailover(
                 "vm-1",
                 pool.groups(),
                 (order, done) -> {
                     orders.add(order);
                     pool.loop().schedule(5, () -> done.accept(answer));
                 },
-                new FakeTable<>(pool.loop()),
+                new FakeObjectTable<>(pool.loop()),
                 pool.loop(),
                 new Random(1),
                 links);
-        system.fleetSize(VMS);
+        system.setFleetSize(VMS);
         tick();
         caller.read("warm");
         pool.advance(1_500);
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
     }
 
     private void tick() {
@@ -160,7 +160,7 @@
 
     private void reportFromOthers(int vms) {
         for (int i = 0; i < vms; i++) {
-            system.received("vm-" + (i + 2), new PrimaryReport("group", "e1"));
+            system.received("vm-" + (i + 2), new PrimaryUnreachableReport("group", "e1"));
         }
     }
 
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/DutyKeeperTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PromotionLeaderElectionTests.java
@@ -9,23 +9,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.hyssopswitch.pool.peer.DutyPing;
-import org.hyssopswitch.pool.peer.DutyPong;
+import org.hyssopswitch.pool.peer.LeadershipPing;
+import org.hyssopswitch.pool.peer.LeadershipPong;
 import org.hyssopswitch.pool.peer.PeerLinks;
-import org.hyssopswitch.pool.testing.FakePeers;
-import org.hyssopswitch.pool.testing.FakeTable;
+import org.hyssopswitch.pool.testing.FakeObjectTable;
+import org.hyssopswitch.pool.testing.FakePeerNetwork;
 import org.hyssopswitch.pool.testing.ManualLoop;
 import org.junit.jupiter.api.Test;
 
-class DutyKeeperTests {
+class PromotionLeaderElectionTests {
 
     private static final List<String> VMS = List.of("vm-1", "vm-2", "vm-3");
     private static final long TICK_MILLIS = 20;
 
     private final ManualLoop loop = new ManualLoop();
-    private final FakeTable<DutyRecord> table = new FakeTable<>(loop);
-    private final FakePeers network = new FakePeers(loop);
-    private final Map<String, DutyKeeper> keepers = new LinkedHashMap<>();
+    private final FakeObjectTable<LeadershipRecord> table = new FakeObjectTable<>(loop);
+    private final FakePeerNetwork network = new FakePeerNetwork(loop);
+    private final Map<String, PromotionLeaderElection> keepers = new LinkedHashMap<>();
     private final List<Long> tokens = new ArrayList<>();
 
     @Test
@@ -49,7 +49,7 @@
         start();
         loop.advance(2_000);
         String first = holders().get(0);
-        network.cut(first, true);
+        network.setPartitioned(first, true);
         loop.advance(4_000);
         String second =
                 holders().stream().filter(vm -> !vm.equals(first)).findFirst().orElseThrow();
@@ -57,7 +57,7 @@
         promote(first);
         loop.advance(100);
         assertEquals(1, tokens.size());
-        assertFalse(keepers.get(first).held());
+        assertFalse(keepers.get(first).isLeader());
     }
 
     @Test
@@ -65,12 +65,12 @@
         start();
         loop.advance(2_000);
         String holder = holders().get(0);
-        table.away(true);
+        table.setUnavailable(true);
         promote(holder);
         loop.advance(100);
         promote(holder);
         loop.advance(100);
-        table.away(false);
+        table.setUnavailable(false);
         promote(holder);
         loop.advance(100);
         assertEquals(3, tokens.size());
@@ -85,9 +85,9 @@
             tokens.clear();
             start();
             for (int step = 0; step < 60; step++) {
-                network.cut(VMS.get(random.nextInt(VMS.size())), random.nextBoolean());
-                table.away(random.nextInt(5) == 0);
-                table.loseAnswers(random.nextInt(5) == 0);
+                network.setPartitioned(VMS.get(random.nextInt(VMS.size())), random.nextBoolean());
+                table.setUnavailable(random.nextInt(5) == 0);
+                table.setDropResponses(random.nextInt(5) == 0);
                 VMS.forEach(this::promote);
                 loop.advance(random.nextInt(1_500));
             }
@@ -100,19 +100,19 @@
     private void start() {
         VMS.forEach(vm -> {
             PeerLinks links = network.join(vm, (from, message) -> {
-                DutyKeeper keeper = keepers.get(vm);
-                if (message instanceof DutyPing ping) {
+                PromotionLeaderElection keeper = keepers.get(vm);
+                if (message instanceof LeadershipPing ping) {
                     keeper.pingReceived(from, ping);
-                } else if (message instanceof DutyPong pong) {
+                } else if (message instanceof LeadershipPong pong) {
                     keeper.pongReceived(from, pong);
                 }
             });
-            keepers.put(vm, new DutyKeeper(vm, table, loop, new Random(vm.hashCode()), links));
+            keepers.put(vm, new PromotionLeaderElection(vm, table, loop, new Random(vm.hashCode()), links));
         });
         tick(Map.copyOf(keepers));
     }
 
-    private void tick(Map<String, DutyKeeper> ticked) {
+    private void tick(Map<String, PromotionLeaderElection> ticked) {
         if (ticked.values().containsAll(keepers.values())) {
             ticked.values().forEach(keeper -> keeper.tick(false));
             loop.schedule(TICK_MILLIS, () -> tick(ticked));
@@ -120,10 +120,10 @@
     }
 
     private List<String> holders() {
-        return VMS.stream().filter(vm -> keepers.get(vm).held()).toList();
+        return VMS.stream().filter(vm -> keepers.get(vm).isLeader()).toList();
     }
 
     private void promote(String vm) {
-        keepers.get(vm).countPromotion(record -> record.forEach(counted -> tokens.add(counted.token())));
+        keepers.get(vm).recordPromotion(record -> record.forEach(counted -> tokens.add(counted.fencingToken())));
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/quota/AccountLimiterTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/quota/AccountLimiterTests.java
@@ -17,8 +17,8 @@
 import org.hyssopswitch.pool.catalog.Account;
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.peer.PeerLinks;
-import org.hyssopswitch.pool.peer.TokenGift;
-import org.hyssopswitch.pool.peer.TokenNeed;
+import org.hyssopswitch.pool.peer.TokenRequest;
+import org.hyssopswitch.pool.peer.TokenTransfer;
 import org.hyssopswitch.pool.testing.ManualLoop;
 import org.junit.jupiter.api.Test;
 
@@ -165,7 +165,7 @@
             }
 
             @Override
-            public boolean wanted() {
+            public boolean isPending() {
                 return true;
             }
         });
@@ -187,16 +187,16 @@
             }
             loop.schedule(DELIVERY_MILLIS, () -> {
                 AccountLimiter to = fleet.get(Integer.parseInt(vm));
-                if (message instanceof TokenNeed need) {
-                    to.needReceived(String.valueOf(self), need);
-                } else if (message instanceof TokenGift gift) {
-                    to.giftReceived(gift);
+                if (message instanceof TokenRequest need) {
+                    to.tokenRequestReceived(String.valueOf(self), need);
+                } else if (message instanceof TokenTransfer gift) {
+                    to.tokenTransferReceived(gift);
                 }
             });
         }
 
         @Override
-        public void sendToSome(PeerMessage message) {
+        public void sendToSubset(PeerMessage message) {
             names().forEach(name -> send(name, message));
         }
 
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/CallerSessionTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/CallerSessionTests.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.hyssopswitch.core.position.LogPosition;
+import org.hyssopswitch.pool.statement.CallerStatement;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Statement;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 import org.hyssopswitch.pool.testing.FakeCaller;
 import org.hyssopswitch.pool.testing.TestPool;
@@ -23,139 +23,141 @@
 
     @Test
     void refusesAnUnknownDatabaseAndAnUnknownKey() {
-        assertEquals(List.of(ErrorCode.DATABASE_UNKNOWN), pool.caller("nothing").refusals());
+        assertEquals(
+                List.of(ErrorCode.DATABASE_UNKNOWN),
+                pool.connectCaller("nothing").refusals());
         FakeCaller stranger = new FakeCaller(pool.sessions(), TestPool.LATEST, "wrong");
         assertEquals(List.of(ErrorCode.KEY_UNKNOWN), stranger.refusals());
-        assertFalse(stranger.greeted());
+        assertFalse(stranger.isSessionOpen());
     }
 
     @Test
     void runsALatestReadAtThePrimaryOnly() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         caller.read("r1");
         pool.advance(100);
-        assertTrue(caller.last().succeeded());
-        assertEquals(List.of("r1"), pool.endpoint("e1").ran());
+        assertTrue(caller.lastReply().succeeded());
+        assertEquals(List.of("r1"), pool.endpoint("e1").executedStatements());
     }
 
     @Test
     void doesNotRunALatestReadAtAPrimaryThatWasReplaced() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         caller.read("r1");
         pool.advance(100);
-        pool.endpoint("e1").primary(false);
-        pool.endpoint("e3").primary(true);
+        pool.endpoint("e1").setPrimary(false);
+        pool.endpoint("e3").setPrimary(true);
         caller.read("r2");
         pool.advance(300);
-        assertEquals(List.of("r1"), pool.endpoint("e1").ran());
+        assertEquals(List.of("r1"), pool.endpoint("e1").executedStatements());
         assertEquals(ErrorCode.OVERLOADED, caller.lastError());
     }
 
     @Test
     void servesABoundedReadFromTheReplicaOfItsDataCentre() {
-        FakeCaller caller = pool.caller(TestPool.BOUNDED);
+        FakeCaller caller = pool.connectCaller(TestPool.BOUNDED);
         caller.read("warm");
         pool.advance(1_000);
         caller.read("r1");
         pool.advance(100);
-        assertTrue(caller.last().succeeded());
-        assertEquals(List.of("r1"), pool.endpoint("e2").ran());
+        assertTrue(caller.lastReply().succeeded());
+        assertEquals(List.of("r1"), pool.endpoint("e2").executedStatements());
     }
 
     @Test
     void readsAtAnEndpointThatHoldsTheSessionsOwnWrite() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
         caller.write("w1");
         pool.advance(600);
         caller.read("r1");
         pool.advance(200);
-        assertTrue(caller.last().succeeded());
-        assertEquals(List.of("w1", "r1"), pool.endpoint("e1").ran());
-        pool.endpoint("e2").position(pool.endpoint("e1").position());
+        assertTrue(caller.lastReply().succeeded());
+        assertEquals(List.of("w1", "r1"), pool.endpoint("e1").executedStatements());
+        pool.endpoint("e2").setPosition(pool.endpoint("e1").position());
         caller.read("r2");
         pool.advance(100);
-        assertEquals(List.of("r2"), pool.endpoint("e2").ran());
+        assertEquals(List.of("r2"), pool.endpoint("e2").executedStatements());
     }
 
     @Test
     void readsAtThePrimaryWhenNoReplicaHoldsTheFloorAfterAPromotionRolledItBack() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
         caller.write("w1");
         pool.advance(50);
-        pool.endpoint("e1").primary(false);
-        pool.endpoint("e3").primary(true);
-        pool.endpoint("e3").position(new LogPosition(2, 10));
-        pool.endpoint("e1").position(new LogPosition(2, 10));
-        pool.endpoint("e2").position(new LogPosition(2, 10));
-        pool.list(pool.endpoint("e3").entry("group", "dc-e3", 9), VMS);
+        pool.endpoint("e1").setPrimary(false);
+        pool.endpoint("e3").setPrimary(true);
+        pool.endpoint("e3").setPosition(new LogPosition(2, 10));
+        pool.endpoint("e1").setPosition(new LogPosition(2, 10));
+        pool.endpoint("e2").setPosition(new LogPosition(2, 10));
+        pool.updateEndpoint(pool.endpoint("e3").entry("group", "dc-e3", 9), VMS);
         pool.advance(1_000);
         caller.read("r1");
         pool.advance(300);
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
     }
 
     @Test
     void leavesAWriteInDoubtWhenItsConnectionBreaks() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
-        pool.endpoint("e1").workMillis(50);
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        pool.endpoint("e1").setWorkMillis(50);
         caller.write("w1");
         pool.advance(60);
         pool.endpoint("e1").breakConnections();
         pool.advance(500);
         assertEquals(ErrorCode.IN_DOUBT, caller.lastError());
-        assertTrue(pool.endpoint("e1").ran().size() <= 1);
+        assertTrue(pool.endpoint("e1").executedStatements().size() <= 1);
     }
 
     @Test
     void repeatsAReadElsewhereWhenItsConnectionBreaks() {
-        FakeCaller caller = pool.caller(TestPool.BOUNDED);
+        FakeCaller caller = pool.connectCaller(TestPool.BOUNDED);
         caller.read("warm");
         pool.advance(600);
-        pool.endpoint("e2").workMillis(50);
+        pool.endpoint("e2").setWorkMillis(50);
         caller.read("r1");
         pool.advance(30);
         pool.endpoint("e2").breakConnections();
         pool.advance(200);
-        assertTrue(caller.last().succeeded());
+        assertTrue(caller.lastReply().succeeded());
     }
 
     @Test
     void abortsATransactionWhoseConnectionBreaksBeforeItsCommit() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
-        caller.send("b", new Statement.Begin(false));
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
-        assertEquals(TransactionStatus.OPEN, caller.last().status());
-        pool.endpoint("e1").workMillis(50);
+        assertEquals(TransactionStatus.OPEN, caller.lastReply().status());
+        pool.endpoint("e1").setWorkMillis(50);
         caller.write("w2");
         pool.advance(10);
         pool.endpoint("e1").breakConnections();
         pool.advance(50);
         assertEquals(ErrorCode.ABORTED, caller.lastError());
-        assertEquals(TransactionStatus.FAILED, caller.last().status());
-        caller.send("r", new Statement.Rollback());
-        assertEquals(TransactionStatus.IDLE, caller.last().status());
+        assertEquals(TransactionStatus.FAILED, caller.lastReply().status());
+        caller.send("r", new CallerStatement.Rollback());
+        assertEquals(TransactionStatus.IDLE, caller.lastReply().status());
     }
 
     @Test
     void leavesACommitInDoubtWhenItsConnectionBreaks() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
-        caller.send("b", new Statement.Begin(false));
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
-        pool.endpoint("e1").workMillis(50);
-        caller.send("c", new Statement.Commit("COMMIT"));
+        pool.endpoint("e1").setWorkMillis(50);
+        caller.send("c", new CallerStatement.Commit("COMMIT"));
         pool.advance(10);
         pool.endpoint("e1").breakConnections();
         pool.advance(50);
         assertEquals(ErrorCode.IN_DOUBT, caller.lastError());
-        assertEquals(TransactionStatus.IDLE, caller.last().status());
+        assertEquals(TransactionStatus.IDLE, caller.lastReply().status());
     }
 
     @Test
     void refusesACommitOfAFailedTransaction() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
-        caller.send("b", new Statement.Begin(false));
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
         pool.endpoint("e1").crash();
@@ -163,50 +165,50 @@
         pool.advance(50);
         caller.read("r1");
         assertEquals(ErrorCode.MALFORMED, caller.lastError());
-        caller.send("c", new Statement.Commit("COMMIT"));
+        caller.send("c", new CallerStatement.Commit("COMMIT"));
         assertEquals(ErrorCode.ABORTED, caller.lastError());
-        assertEquals(TransactionStatus.IDLE, caller.last().status());
+        assertEquals(TransactionStatus.IDLE, caller.lastReply().status());
     }
 
     @Test
     void endsATransactionThatStaysIdle() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
-        caller.send("b", new Statement.Begin(false));
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(3_200);
         caller.write("w2");
         assertEquals(ErrorCode.ABORTED, caller.lastError());
-        assertEquals(List.of("w1"), pool.endpoint("e1").ran());
+        assertEquals(List.of("w1"), pool.endpoint("e1").executedStatements());
     }
 
     @Test
     void refusesAWithdrawnKeyOfACallerThatIsConnected() {
-        FakeCaller caller = pool.caller(TestPool.OWN);
-        caller.send("b", new Statement.Begin(false));
+        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
         pool.configure(TestPool.catalog(CONNECTIONS, Map.of("other-key", TestPool.account("large"))), VMS);
         caller.write("w2");
         assertEquals(ErrorCode.KEY_UNKNOWN, caller.lastError());
-        caller.send("r", new Statement.Rollback());
+        caller.send("r", new CallerStatement.Rollback());
         caller.read("r1");
         assertEquals(ErrorCode.KEY_UNKNOWN, caller.lastError());
-        assertEquals(List.of("w1"), pool.endpoint("e1").ran());
+        assertEquals(List.of("w1"), pool.endpoint("e1").executedStatements());
     }
 
     @Test
     void preparesAStatementWhereItIsExecuted() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         caller.prepareAndExecute("x1");
         pool.advance(100);
-        assertTrue(caller.last().succeeded());
-        caller.send("x2", new Statement.Execute("s2", "a"));
+        assertTrue(caller.lastReply().succeeded());
+        caller.send("x2", new CallerStatement.Execute("s2", "a"));
         assertEquals(ErrorCode.STATEMENT_UNKNOWN, caller.lastError());
     }
 
     @Test
     void answersAtOnceWhenNoPrimaryIsReachable() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         caller.read("r1");
         pool.advance(100);
         pool.endpoint("e1").crash();
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
@@ -17,19 +17,19 @@
 
     @Test
     void keepsANewSessionWaitingForTheFirstConfiguration() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         pool.advance(500);
-        assertFalse(caller.greeted());
+        assertFalse(caller.isSessionOpen());
         assertEquals(List.of(), caller.refusals());
         pool.configure(TestPool.catalog(16, Map.of(TestPool.KEY, TestPool.account("small"))), 6);
-        assertTrue(caller.greeted());
+        assertTrue(caller.isSessionOpen());
     }
 
     @Test
     void closesANewSessionBeforeItsCallerGivesUp() {
-        FakeCaller caller = pool.caller(TestPool.LATEST);
+        FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         pool.advance(1_960);
-        assertTrue(caller.closed());
+        assertTrue(caller.isClosed());
         assertEquals(List.of(), caller.refusals());
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/store/TableWatcherTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/store/TableWatcherTests.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import org.hyssopswitch.pool.testing.FakeTable;
+import org.hyssopswitch.pool.testing.FakeObjectTable;
 import org.hyssopswitch.pool.testing.ManualLoop;
 import org.junit.jupiter.api.Test;
 
@@ -15,7 +15,7 @@
     private static final long WAIT_MILLIS = 2_000;
 
     private final ManualLoop loop = new ManualLoop();
-    private final FakeTable<String> table = new FakeTable<>(loop);
+    private final FakeObjectTable<String> table = new FakeObjectTable<>(loop);
     private final List<String> seen = new ArrayList<>();
 
     @Test
@@ -35,7 +35,7 @@
         start();
         loop.advance(50);
         table.put("a", "1");
-        table.dropHistory();
+        table.discardHistory();
         loop.advance(2_500);
         assertEquals("list a=1", seen.get(seen.size() - 1));
     }
@@ -44,10 +44,10 @@
     void tellsOfTheStoresReturnBeforeWhatChangedMeanwhile() {
         start();
         loop.advance(50);
-        table.away(true);
+        table.setUnavailable(true);
         loop.advance(5_000);
         table.put("a", "1");
-        table.away(false);
+        table.setUnavailable(false);
         loop.advance(1_000);
         assertEquals(List.of("list", "regained", "a=1"), seen);
     }
@@ -56,10 +56,10 @@
     void callsRarelyWhileNothingChangesOrTheStoreIsAway() {
         start();
         loop.advance(20_000);
-        assertTrue(table.calls() <= 12, table.calls() + " calls in 20 s");
-        table.away(true);
+        assertTrue(table.callCount() <= 12, table.callCount() + " calls in 20 s");
+        table.setUnavailable(true);
         loop.advance(20_000);
-        assertTrue(table.calls() <= 70, table.calls() + " calls in 40 s");
+        assertTrue(table.callCount() <= 70, table.callCount() + " calls in 40 s");
     }
 
     private void start() {
@@ -86,7 +86,7 @@
         }
 
         @Override
-        public void regained() {
+        public void storeRecovered() {
             seen.add("regained");
         }
     }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
@@ -5,11 +5,11 @@
 import org.hyssopswitch.pool.session.CallerLink;
 import org.hyssopswitch.pool.session.CallerSession;
 import org.hyssopswitch.pool.session.Sessions;
+import org.hyssopswitch.pool.statement.CallerStatement;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Outcome;
 import org.hyssopswitch.pool.statement.PreparedShape;
 import org.hyssopswitch.pool.statement.Reply;
-import org.hyssopswitch.pool.statement.Statement;
+import org.hyssopswitch.pool.statement.StatementOutcome;
 
 /** A caller that keeps what it was told. */
 public final class FakeCaller implements CallerLink {
@@ -27,24 +27,24 @@
     }
 
     /** Sends a statement. */
-    public void send(String id, Statement statement) {
-        session.query(id, statement);
+    public void send(String id, CallerStatement statement) {
+        session.statementReceived(id, statement);
     }
 
     /** Sends a read. */
     public void read(String id) {
-        send(id, new Statement.Read("READ a"));
+        send(id, new CallerStatement.Read("READ a"));
     }
 
     /** Sends a write. */
     public void write(String id) {
-        send(id, new Statement.Write("WRITE a x"));
+        send(id, new CallerStatement.Write("WRITE a x"));
     }
 
     /** Prepares and executes a read. */
     public void prepareAndExecute(String id) {
-        send(id + "p", new Statement.Prepare("s1", new PreparedShape(false, "q")));
-        send(id, new Statement.Execute("s1", "a"));
+        send(id + "p", new CallerStatement.Prepare("s1", new PreparedShape(false, "q")));
+        send(id, new CallerStatement.Execute("s1", "a"));
     }
 
     /** All answers. */
@@ -53,13 +53,13 @@
     }
 
     /** The latest answer. */
-    public Reply last() {
+    public Reply lastReply() {
         return replies.get(replies.size() - 1);
     }
 
     /** The code of the latest answer. */
     public ErrorCode lastError() {
-        return ((Outcome.Failed) last().outcome()).code();
+        return ((StatementOutcome.Failed) lastReply().outcome()).code();
     }
 
     /** Why the session was refused. */
@@ -68,12 +68,12 @@
     }
 
     /** Whether the session was opened. */
-    public boolean greeted() {
+    public boolean isSessionOpen() {
         return greeted;
     }
 
     /** Whether the VM closed the connection. */
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void greet() {
+    public void acceptSession() {
         greeted = true;
     }
 
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void refuse(ErrorCode code, String text) {
+    public void refuseSession(ErrorCode code, String text) {
         refusals.add(code);
     }
 
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
@@ -11,12 +11,12 @@
 import org.hyssopswitch.pool.catalog.Account;
 import org.hyssopswitch.pool.catalog.Endpoint;
 import org.hyssopswitch.pool.endpoint.EndpointLink;
-import org.hyssopswitch.pool.endpoint.ReplicaStatus;
+import org.hyssopswitch.pool.endpoint.ReplicationStatus;
 import org.hyssopswitch.pool.statement.EndpointCommand;
 import org.hyssopswitch.pool.statement.ErrorCode;
-import org.hyssopswitch.pool.statement.Outcome;
 import org.hyssopswitch.pool.statement.PreparedShape;
 import org.hyssopswitch.pool.statement.Reply;
+import org.hyssopswitch.pool.statement.StatementOutcome;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
 /** A database server that answers in virtual time and keeps what it ran. */
@@ -59,22 +59,22 @@
     }
 
     /** Identifiers of the callers' statements that were run, in order. */
-    public List<String> ran() {
+    public List<String> executedStatements() {
         return List.copyOf(ran);
     }
 
     /** The session values under which a statement ran. */
-    public Map<String, String> valuesAt(String statementId) {
+    public Map<String, String> sessionValues(String statementId) {
         return valuesAt.get(statementId);
     }
 
     /** Connections opened so far. */
-    public int opened() {
+    public int openedConnections() {
         return opened;
     }
 
     /** Connections open now. */
-    public int open() {
+    public int openConnections() {
         return links.size();
     }
 
@@ -84,60 +84,60 @@
     }
 
     /** Reads the row in which a fake endpoint answers a query of its status. */
-    public static Option<ReplicaStatus> decode(String row) {
+    public static Option<ReplicationStatus> decodeStatus(String row) {
         String[] fields = row.split(" ", -1);
         long term = Long.parseLong(fields[1]);
-        return Option.some(new ReplicaStatus(
+        return Option.some(new ReplicationStatus(
                 Boolean.parseBoolean(fields[0]), term, new LogPosition(term, Long.parseLong(fields[2]))));
     }
 
     /** Whether it is the primary. */
-    public boolean leads() {
+    public boolean isPrimary() {
         return primary;
     }
 
     /** Moves the log. */
-    public void position(LogPosition next) {
+    public void setPosition(LogPosition next) {
         position = next;
     }
 
     /** Makes it the primary or a replica. */
-    public void primary(boolean leads) {
+    public void setPrimary(boolean leads) {
         primary = leads;
     }
 
     /** Time that a read or write takes, milliseconds. */
-    public void workMillis(long millis) {
+    public void setWorkMillis(long millis) {
         workMillis = millis;
     }
 
     /** Refuses all work for lack of capacity. */
-    public void busy(boolean refuses) {
+    public void setOverloaded(boolean refuses) {
         busy = refuses;
     }
 
     /** Takes whatever arrives and answers nothing. */
-    public void silent(boolean mute) {
+    public void setUnresponsive(boolean mute) {
         silent = mute;
     }
 
     /** Refuses connections as if other VMs held all of them. */
-    public void refuseConnections(boolean refuses) {
+    public void setConnectionsExhausted(boolean refuses) {
         full = refuses;
     }
 
     /** Refuses connections because the address belongs to another process now. */
-    public void foreign(boolean other) {
+    public void setMisrouted(boolean other) {
         foreign = other;
     }
 
     /** Connections that were asked for so far. */
-    public int asked() {
+    public int connectAttempts() {
         return asked;
     }
 
     /** Connections refused so far because it had enough. */
-    public int refusedFull() {
+    public int rejectedConnections() {
         return refusedFull;
     }
 
@@ -222,8 +222,8 @@
             if (closed || !links.contains(this) || silent) {
                 return;
             }
-            Outcome outcome = run(command);
-            if (outcome instanceof Outcome.Failed && status == TransactionStatus.OPEN) {
+            StatementOutcome outcome = run(command);
+            if (outcome instanceof StatementOutcome.Failed && status == TransactionStatus.OPEN) {
                 status = TransactionStatus.FAILED;
             }
             listener.replied(new Reply(rows(command), outcome, status, Option.some(position)));
@@ -235,30 +235,30 @@
             return control ? List.of(primary + " " + position.term() + " " + position.offset()) : List.of();
         }
 
-        private Outcome run(EndpointCommand command) {
+        private StatementOutcome run(EndpointCommand command) {
             if (command instanceof EndpointCommand.StepDown) {
                 primary = false;
-                return Outcome.Success.LOCAL;
+                return StatementOutcome.Success.LOCAL;
             }
             if (command instanceof EndpointCommand.Begin begin) {
                 return begin(begin);
             }
             if (command instanceof EndpointCommand.Rollback) {
                 status = TransactionStatus.IDLE;
-                return Outcome.Success.LOCAL;
+                return StatementOutcome.Success.LOCAL;
             }
             if (command instanceof EndpointCommand.Prepare prepare) {
                 prepared.add(prepare.shape());
-                return Outcome.Success.LOCAL;
+                return StatementOutcome.Success.LOCAL;
             }
             if (command instanceof EndpointCommand.Reset) {
                 prepared.clear();
                 values.clear();
-                return Outcome.Success.LOCAL;
+                return StatementOutcome.Success.LOCAL;
             }
             if (command instanceof EndpointCommand.SetValue set) {
                 values.put(set.name(), set.value());
-                return Outcome.Success.LOCAL;
+                return StatementOutcome.Success.LOCAL;
             }
             if (command instanceof EndpointCommand.Forward forward) {
                 return work(
@@ -276,10 +276,10 @@
                                 execute.shape().write())
                         : failed(ErrorCode.STATEMENT_UNKNOWN);
             }
-            return Outcome.Success.LOCAL;
+            return StatementOutcome.Success.LOCAL;
         }
 
-        private Outcome begin(EndpointCommand.Begin begin) {
+        private StatementOutcome begin(EndpointCommand.Begin begin) {
             if (!begin.readOnly() && !primary) {
                 return failed(ErrorCode.READ_ONLY);
             }
@@ -289,10 +289,10 @@
             status = TransactionStatus.OPEN;
             readWrite = !begin.readOnly();
             wrote = false;
-            return Outcome.Success.LOCAL;
+            return StatementOutcome.Success.LOCAL;
         }
 
-        private Outcome work(String statementId, String text, Option<LogPosition> floor, boolean write) {
+        private StatementOutcome work(String statementId, String text, Option<LogPosition> floor, boolean write) {
             if (busy) {
                 return failed(ErrorCode.OVERLOADED);
             }
@@ -311,11 +311,11 @@
                 position = wrote ? new LogPosition(position.term(), position.offset() + 1) : position;
                 wrote = false;
             }
-            return new Outcome.Success("signed-" + id);
+            return new StatementOutcome.Success("signed-" + id);
         }
 
-        private Outcome failed(ErrorCode code) {
-            return new Outcome.Failed(code, id);
+        private StatementOutcome failed(ErrorCode code) {
+            return new StatementOutcome.Failed(code, id);
         }
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeTable.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeObjectTable.java
@@ -11,17 +11,17 @@
 import org.hyssopswitch.pool.store.Listing;
 import org.hyssopswitch.pool.store.ObjectTable;
 import org.hyssopswitch.pool.store.StoreFailure;
-import org.hyssopswitch.pool.store.Stored;
+import org.hyssopswitch.pool.store.VersionedObject;
 
 /** Objects of one kind in memory, answered in virtual time, with outages and lost answers. */
-public final class FakeTable<T> implements ObjectTable<T> {
+public final class FakeObjectTable<T> implements ObjectTable<T> {
 
     private static final long ANSWER_MILLIS = 8;
     private static final long TIMEOUT_MILLIS = 1_200;
 
     private final ManualLoop loop;
-    private final Map<String, Stored<T>> objects = new LinkedHashMap<>();
-    private final List<Stored<T>> history = new ArrayList<>();
+    private final Map<String, VersionedObject<T>> objects = new LinkedHashMap<>();
+    private final List<VersionedObject<T>> history = new ArrayList<>();
     private long revision = 1;
     private boolean away;
     private boolean loseAnswers;
@@ -29,35 +29,35 @@
     private int calls;
 
     /** Creates an empty table. */
-    public FakeTable(ManualLoop loop) {
+    public FakeObjectTable(ManualLoop loop) {
         this.loop = loop;
     }
 
     /** Refuses all calls. */
-    public void away(boolean down) {
+    public void setUnavailable(boolean down) {
         away = down;
     }
 
     /** Carries calls out and gives no answer. */
-    public void loseAnswers(boolean lose) {
+    public void setDropResponses(boolean lose) {
         loseAnswers = lose;
     }
 
     /** Forgets which objects changed. */
-    public void dropHistory() {
+    public void discardHistory() {
         historyGone = true;
         history.clear();
     }
 
     /** Calls so far. */
-    public int calls() {
+    public int callCount() {
         return calls;
     }
 
     /** Writes as another writer does. */
     public void put(String name, T value) {
         revision++;
-        objects.put(name, new Stored<>(name, revision, Option.some(value)));
+        objects.put(name, new VersionedObject<>(name, revision, Option.some(value)));
         history.add(objects.get(name));
     }
 
@@ -65,7 +65,7 @@
     public void remove(String name) {
         revision++;
         objects.remove(name);
-        history.add(new Stored<>(name, revision, Option.none()));
+        history.add(new VersionedObject<>(name, revision, Option.none()));
     }
 
     @Override
@@ -89,14 +89,15 @@
     }
 
     @Override
-    public void read(String name, Consumer<Either<StoreFailure, Option<Stored<T>>>> done) {
+    public void read(String name, Consumer<Either<StoreFailure, Option<VersionedObject<T>>>> done) {
         answer(done, () -> Either.right(Option.of(objects.get(name))));
     }
 
     @Override
-    public void write(String name, Option<Long> expected, T value, Consumer<Either<StoreFailure, Stored<T>>> done) {
+    public void write(
+            String name, Option<Long> expected, T value, Consumer<Either<StoreFailure, VersionedObject<T>>> done) {
         answer(done, () -> {
-            Option<Long> present = Option.of(objects.get(name)).map(Stored::revision);
+            Option<Long> present = Option.of(objects.get(name)).map(VersionedObject::revision);
             if (!present.equals(expected)) {
                 return Either.left(new StoreFailure.Conflict());
             }
@@ -106,7 +107,7 @@
     }
 
     private void poll(long from, long untilMillis, Consumer<Either<StoreFailure, Listing<T>>> done) {
-        List<Stored<T>> changed =
+        List<VersionedObject<T>> changed =
                 history.stream().filter(object -> object.revision() > from).toList();
         if (away) {
             done.accept(Either.left(new StoreFailure.Unavailable("cut")));
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeers.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
@@ -11,7 +11,7 @@
 import org.hyssopswitch.pool.peer.PeerLinks;
 
 /** The links between some VMs, with VMs that are cut off. */
-public final class FakePeers {
+public final class FakePeerNetwork {
 
     private static final long DELIVERY_MILLIS = 2;
 
@@ -21,7 +21,7 @@
     private final Set<Class<? extends PeerMessage>> dropped = new HashSet<>();
 
     /** Creates a network without VMs. */
-    public FakePeers(ManualLoop loop) {
+    public FakePeerNetwork(ManualLoop loop) {
         this.loop = loop;
     }
 
@@ -32,7 +32,7 @@
     }
 
     /** Cuts a VM off from all others, or ends the cut. */
-    public void cut(String vm, boolean off) {
+    public void setPartitioned(String vm, boolean off) {
         if (off) {
             cut.add(vm);
         } else {
@@ -67,7 +67,7 @@
         }
 
         @Override
-        public void sendToSome(PeerMessage message) {
+        public void sendToSubset(PeerMessage message) {
             names().forEach(name -> send(name, message));
         }
 
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPool.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPool.java
@@ -12,11 +12,11 @@
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Consistency;
 import org.hyssopswitch.pool.catalog.Endpoint;
-import org.hyssopswitch.pool.catalog.Group;
+import org.hyssopswitch.pool.catalog.GroupDeclaration;
 import org.hyssopswitch.pool.catalog.Route;
 import org.hyssopswitch.pool.endpoint.DatabaseGroup;
+import org.hyssopswitch.pool.endpoint.DatabaseGroups;
 import org.hyssopswitch.pool.endpoint.GroupContext;
-import org.hyssopswitch.pool.endpoint.Groups;
 import org.hyssopswitch.pool.endpoint.LeaseSource;
 import org.hyssopswitch.pool.peer.PeerLinks;
 import org.hyssopswitch.pool.quota.AccountLimiter;
@@ -45,7 +45,7 @@
     private final ManualLoop loop = new ManualLoop();
     private final Map<String, FakeEndpoint> endpoints = new LinkedHashMap<>();
     private final List<Endpoint> entries = new ArrayList<>();
-    private final Groups groups;
+    private final DatabaseGroups groups;
     private final Sessions sessions;
     private final AccountLimiter limiter;
     private final List<String> shortages = new ArrayList<>();
@@ -59,11 +59,11 @@
             endpoints.put(id, endpoint);
             entries.add(endpoint.entry(GROUP, "dc-" + id, entries.size() + 1L));
         }
-        groups = new Groups(new GroupContext(
+        groups = new DatabaseGroups(new GroupContext(
                 "dc-e2",
                 (endpoint, account, listener) -> endpoints.get(endpoint.id()).connect(account, listener),
                 LeaseSource.NONE,
-                FakeEndpoint::decode,
+                FakeEndpoint::decodeStatus,
                 (group, endpoint) -> shortages.add(endpoint),
                 loop::nowMillis,
                 () -> loop.nowMillis() + suspendedMillis));
@@ -79,7 +79,7 @@
     }
 
     /** A caller of a database with the configured key. */
-    public FakeCaller caller(String database) {
+    public FakeCaller connectCaller(String database) {
         return new FakeCaller(sessions, database, KEY);
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** All groups of the VM. */
-    public Groups groups() {
+    public DatabaseGroups groups() {
         return groups;
     }
 
@@ -144,7 +144,7 @@
     }
 
     /** Takes a change of an endpoint's entry. */
-    public void list(Endpoint changed, int vms) {
+    public void updateEndpoint(Endpoint changed, int vms) {
         entries.removeIf(entry -> entry.id().equals(changed.id()));
         entries.add(changed);
         groups.update(catalog, entries, vms);
@@ -163,7 +163,7 @@
                         route(LATEST, Consistency.LATEST, 0),
                         route(BOUNDED, Consistency.BOUNDED, 1_500),
                         route(OWN, Consistency.READ_YOUR_WRITES, 2_500)),
-                List.of(new Group(GROUP, maxConnections, syncReplicas)),
+                List.of(new GroupDeclaration(GROUP, maxConnections, syncReplicas)),
                 accounts,
                 3_000);
     }
@@ -193,7 +193,7 @@
         }
 
         @Override
-        public void sendToSome(PeerMessage message) {
+        public void sendToSubset(PeerMessage message) {
             // No other VM is reachable.
         }
 
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestFleet.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPoolFleet.java
@@ -11,8 +11,8 @@
 import org.hyssopswitch.pool.catalog.Account;
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Endpoint;
+import org.hyssopswitch.pool.endpoint.DatabaseGroups;
 import org.hyssopswitch.pool.endpoint.GroupContext;
-import org.hyssopswitch.pool.endpoint.Groups;
 import org.hyssopswitch.pool.endpoint.LeaseRole;
 import org.hyssopswitch.pool.endpoint.LeaseSource;
 import org.hyssopswitch.pool.lease.ConnectionBorrower;
@@ -24,7 +24,7 @@
 import org.hyssopswitch.pool.session.Sessions;
 
 /** Many VMs in two data centres before a group of three endpoints with few connections, all in virtual time. */
-public final class TestFleet {
+public final class TestPoolFleet {
 
     private static final String GROUP = "group";
     private static final long TICK_MILLIS = 20;
@@ -33,14 +33,14 @@
     private static final long SETTLE_MILLIS = 100;
 
     private final ManualLoop loop = new ManualLoop();
-    private final FakePeers network = new FakePeers(loop);
+    private final FakePeerNetwork network = new FakePeerNetwork(loop);
     private final Map<String, FakeEndpoint> endpoints = new LinkedHashMap<>();
     private final List<Endpoint> entries = new ArrayList<>();
     private final List<Vm> vms = new ArrayList<>();
     private final int accounts;
 
     /** Starts VMs that lend connections to each other, or each connect for themselves. */
-    public TestFleet(int vmCount, int maxConnections, int accounts, boolean lending) {
+    public TestPoolFleet(int vmCount, int maxConnections, int accounts, boolean lending) {
         this.accounts = accounts;
         for (String id : List.of("e1", "e2", "e3")) {
             FakeEndpoint endpoint = new FakeEndpoint(loop, id, id.equals("e1"), maxConnections);
@@ -70,7 +70,7 @@
     }
 
     /** A caller at one of the VMs. */
-    public FakeCaller caller(int vm, String database, int account) {
+    public FakeCaller connectCaller(int vm, String database, int account) {
         return new FakeCaller(vms.get(vm).sessions, database, key(account));
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** The VM that lends connections to an endpoint, by its number. */
-    public int lender(String endpointId) {
+    public int lenderIndex(String endpointId) {
         Endpoint entry = entries.stream()
                 .filter(listed -> listed.id().equals(endpointId))
                 .findFirst()
@@ -99,8 +99,8 @@
     }
 
     /** Connections of a VM that are lent or asked for. */
-    public int leases(int vm) {
-        return vms.get(vm).lender.size();
+    public int leaseCount(int vm) {
+        return vms.get(vm).lender.leaseCount();
     }
 
     /** Number of VMs. */
@@ -109,7 +109,7 @@
     }
 
     /** The network between the VMs. */
-    public FakePeers network() {
+    public FakePeerNetwork network() {
         return network;
     }
 
@@ -127,19 +127,19 @@
 
         private final ConnectionBorrower borrower;
         private final ConnectionLender lender;
-        private final Groups groups;
+        private final DatabaseGroups groups;
         private final AccountLimiter limiter;
         private final Sessions sessions;
 
         Vm(String name, String dataCentre, boolean lending, int seed) {
             PeerLinks links = network.join(name, this::receive);
             borrower = new ConnectionBorrower(name, links, new Random(seed), loop::nowMillis);
-            groups = new Groups(new GroupContext(
+            groups = new DatabaseGroups(new GroupContext(
                     dataCentre,
                     (endpoint, account, listener) ->
                             endpoints.get(endpoint.id()).connect(account, listener),
                     lending ? borrower : LeaseSource.NONE,
-                    FakeEndpoint::decode,
+                    FakeEndpoint::decodeStatus,
                     (group, endpoint) -> {},
                     loop::nowMillis,
                     loop::nowMillis));
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/IsolationDetectorTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/IsolationDetectorTests.java
@@ -17,20 +17,20 @@
     @Test
     void findsTheCutOffOfItsDataCentreWithinASecond() {
         run(1_000, true, false);
-        assertTrue(detector.isolated());
+        assertTrue(detector.isIsolated());
         assertTrue(pings >= 3, pings + " pings");
     }
 
     @Test
     void takesNoLossOfPrimariesForACutOffWhileOtherDataCentresAnswer() {
         run(5_000, true, true);
-        assertFalse(detector.isolated());
+        assertFalse(detector.isIsolated());
     }
 
     @Test
     void takesNoSilenceForACutOffWhilePrimariesAnswer() {
         run(5_000, false, false);
-        assertFalse(detector.isolated());
+        assertFalse(detector.isIsolated());
         assertEquals(0, pings);
     }
 
@@ -38,9 +38,9 @@
     void endsAsSoonAsAnotherDataCentreAnswers() {
         run(2_000, true, false);
         assertTrue(detector.isolatedMillis(now) > 1_000);
-        detector.heard(now);
+        detector.remoteMessageReceived(now);
         run(TICK_MILLIS, true, false);
-        assertFalse(detector.isolated());
+        assertFalse(detector.isIsolated());
         assertEquals(0, detector.isolatedMillis(now));
     }
 
@@ -48,7 +48,7 @@
     void doesNotCountSilenceFromBeforeTheLossOfThePrimaries() {
         run(5_000, false, false);
         run(400, true, false);
-        assertFalse(detector.isolated());
+        assertFalse(detector.isIsolated());
     }
 
     private void run(long millis, boolean primariesLost, boolean othersAnswer) {
@@ -56,7 +56,7 @@
             int before = pings;
             detector.tick(primariesLost, now);
             if (othersAnswer && pings > before) {
-                detector.heard(now);
+                detector.remoteMessageReceived(now);
             }
         }
     }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/StoreFollowerTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/StoreSynchronizerTests.java
@@ -11,19 +11,19 @@
 import java.util.Map;
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Endpoint;
-import org.hyssopswitch.pool.testing.FakePeers;
+import org.hyssopswitch.pool.testing.FakePeerNetwork;
 import org.hyssopswitch.pool.testing.ManualLoop;
 import org.junit.jupiter.api.Test;
 
 /** Two data centres of VMs, of which few watch the store. */
-class StoreFollowerTests {
+class StoreSynchronizerTests {
 
     private static final long TICK_MILLIS = 20;
 
     private final ManualLoop loop = new ManualLoop();
-    private final FakePeers network = new FakePeers(loop);
+    private final FakePeerNetwork network = new FakePeerNetwork(loop);
     private final Map<String, View> views = new HashMap<>();
-    private final Map<String, StoreFollower> followers = new HashMap<>();
+    private final Map<String, StoreSynchronizer> followers = new HashMap<>();
 
     @Test
     void letsTwoVmsOfEachDataCentreWatchTheStoreOfALargeFleet() {
@@ -104,7 +104,7 @@
         start(40);
         loop.advance(2_000);
         View cutOff = watching().get(0);
-        network.cut(cutOff.name, true);
+        network.setPartitioned(cutOff.name, true);
         loop.advance(3_000);
         assertTrue(watching().size() <= 4, watching().size() + " watch");
         assertFalse(watching().isEmpty());
@@ -118,7 +118,7 @@
         dataCentres.keySet().forEach(name -> {
             View view = new View(name);
             views.put(name, view);
-            StoreFollower follower = new StoreFollower(
+            StoreSynchronizer follower = new StoreSynchronizer(
                     name,
                     view,
                     network.join(name, (from, message) -> followers.get(name).received(from, message)),
@@ -130,7 +130,7 @@
     }
 
     private void tick() {
-        followers.values().forEach(StoreFollower::tick);
+        followers.values().forEach(StoreSynchronizer::tick);
         loop.schedule(TICK_MILLIS, this::tick);
     }
 
@@ -175,19 +175,19 @@
         }
 
         @Override
-        public boolean current() {
+        public boolean isCurrent() {
             return inTouch;
         }
 
         @Override
-        public void takeCatalog(Catalog next) {
+        public void applyCatalog(Catalog next) {
             if (next.version() > catalog.version()) {
                 catalog = next;
             }
         }
 
         @Override
-        public void takeEndpoints(long listRevision, Collection<Endpoint> all) {
+        public void applyEndpoints(long listRevision, Collection<Endpoint> all) {
             if (listRevision >= revision) {
                 revision = listRevision;
                 endpoints = List.copyOf(all);
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void watch(boolean itself) {
+        public void setWatching(boolean itself) {
             watches = itself;
         }
     }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CycleDriver.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CycleDriver.java
@@ -13,8 +13,8 @@
 import org.hyssopswitch.core.identity.VmAddress;
 import org.hyssopswitch.core.limit.Admission;
 import org.hyssopswitch.core.position.LogPosition;
-import org.hyssopswitch.core.retry.Attempt;
 import org.hyssopswitch.core.retry.Deadline;
+import org.hyssopswitch.core.retry.FailedAttempt;
 import org.hyssopswitch.core.retry.RetryDecision;
 import org.hyssopswitch.core.session.Selection;
 import org.hyssopswitch.core.session.SelectionRequest;
@@ -79,7 +79,7 @@
             return;
         }
         pinned = session.pinned().isDefined();
-        context.collaborators().retries().started();
+        context.collaborators().retries().recordFirstAttempt();
         admit();
     }
 
@@ -183,7 +183,7 @@
     }
 
     private void notAdmitted(Refusal refusal, long now) {
-        if (pinned && !deadline.passed(now)) {
+        if (pinned && !deadline.hasPassed(now)) {
             context.loop().schedule(Math.max(1, refusal.retryAfterMillis()), this::admit);
         } else if (pinned) {
             end(() -> session.endFatal(refusal));
@@ -205,7 +205,7 @@
             return;
         }
         long now = context.nowMillis();
-        if (deadline.passed(now)) {
+        if (deadline.hasPassed(now)) {
             refuse(new Refusal.EndpointUnavailable(session.database(), 1_000));
             return;
         }
@@ -326,7 +326,8 @@
         boolean repeatable = !answered && !extended && !pinned && (route.read() || route.repeatable());
         RetryDecision decision = context.collaborators()
                 .retries()
-                .afterFailure(new Attempt(Math.max(1, attempts), repeatable, true, deadline), context.nowMillis());
+                .afterFailure(
+                        new FailedAttempt(Math.max(1, attempts), repeatable, true, deadline), context.nowMillis());
         if (repeatable && decision instanceof RetryDecision.Retry retry) {
             stream.forEach(s -> tried.add(s.endpoint()));
             stream = Option.none();
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
@@ -161,7 +161,7 @@
     }
 
     void tick() {
-        queue.expire(context.loop().nowMillis())
+        queue.removeDropped(context.loop().nowMillis())
                 .forEach(s -> refuse(s, AnswerState.OVERLOADED, 1_000, "queue deadline"));
         closeIdleTransactions();
         pool.tick();
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
@@ -134,7 +134,7 @@
 
         @Override
         public void begin() {
-            drain.begin();
+            drain.requestDrain();
         }
 
         @Override
