--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PrimaryFailover.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PrimaryFailover.java
@@ -19,31 +19,31 @@
 public final class PrimaryFailover {
 
     /** Time for which a primary must be unusable before it is replaced, milliseconds: restarts of links are shorter. */
-    private static final long CONFIRM_MILLIS = 100;
+    private static final long CONFIRMATION_MILLIS = 100;
 
     /** Period of reports to the holder of the duty, milliseconds. */
     private static final long REPORT_PERIOD_MILLIS = 250;
 
     /** Time after the confirmation in which every tick reports, milliseconds, so that a lost report does no harm. */
-    private static final long FIRST_REPORTS_MILLIS = 50;
+    private static final long INITIAL_REPORTING_MILLIS = 50;
 
     /**
      * Part of the VMs that must be cut off from a primary before it is replaced: more than those of one data centre of
      * three, which may be the ones that are cut off from all others.
      */
-    private static final double CUT_OFF_PART = 0.34;
+    private static final double CUT_OFF_FRACTION = 0.34;
 
     private final String self;
     private final DatabaseGroups groups;
     private final PromotionAuthority authority;
     private final DecisionLoop loop;
-    private final PromotionLeaderElection duty;
+    private final PromotionLeaderElection election;
     private final UnreachabilityReports reports = new UnreachabilityReports();
     private final Map<String, Long> unusableSinceMillis = new HashMap<>();
-    private final Map<String, ReplicaPromotion> runs = new HashMap<>();
+    private final Map<String, ReplicaPromotion> promotions = new HashMap<>();
     private PeerLinks peers;
-    private int vms = 1;
-    private long reportedMillis;
+    private int vmCount = 1;
+    private long lastReportMillis;
 
     /**
      * Creates the system.
@@ -68,9 +68,9 @@
         this.groups = groups;
         this.authority = authority;
         this.loop = loop;
-        this.duty = new PromotionLeaderElection(self, table, loop, random, peers);
+        this.election = new PromotionLeaderElection(self, table, loop, random, peers);
         this.peers = peers;
-        this.reportedMillis = loop.nowMillis();
+        this.lastReportMillis = loop.nowMillis();
     }
 
     /**
@@ -80,7 +80,7 @@
      */
     public void connect(PeerLinks links) {
         peers = links;
-        duty.connect(links);
+        election.connect(links);
     }
 
     /**
@@ -89,7 +89,7 @@
      * @param count number of VMs, this one included
      */
     public void setFleetSize(int count) {
-        vms = count;
+        vmCount = count;
     }
 
     /**
@@ -98,13 +98,13 @@
      * @param eligible whether it may
      */
     public void setCandidate(boolean eligible) {
-        duty.setCandidate(eligible);
+        election.setCandidate(eligible);
     }
 
     /** Looks for groups that need a promotion; called every few milliseconds. */
     public void tick() {
         long now = loop.nowMillis();
-        boolean report = now - reportedMillis >= REPORT_PERIOD_MILLIS;
+        boolean reportDue = now - lastReportMillis >= REPORT_PERIOD_MILLIS;
         boolean urgent = false;
         for (DatabaseGroup group : groups.all()) {
             boolean unusable = primaryUnusable(group);
@@ -112,19 +112,19 @@
             if (!unusable) {
                 unusableSinceMillis.remove(group.name());
             }
-            boolean confirmed = since != null && now - since >= CONFIRM_MILLIS;
+            boolean confirmed = since != null && now - since >= CONFIRMATION_MILLIS;
             urgent |= confirmed;
-            if (confirmed && (report || now - since < CONFIRM_MILLIS + FIRST_REPORTS_MILLIS)) {
-                report(group);
+            if (confirmed && (reportDue || now - since < CONFIRMATION_MILLIS + INITIAL_REPORTING_MILLIS)) {
+                sendReport(group);
             }
-            if (duty.isLeader()) {
-                decide(group, confirmed, now);
+            if (election.isLeader()) {
+                promoteIfNeeded(group, confirmed, now);
             }
         }
-        if (report) {
-            reportedMillis = now;
+        if (reportDue) {
+            lastReportMillis = now;
         }
-        duty.tick(urgent);
+        election.tick(urgent);
     }
 
     /**
@@ -135,28 +135,28 @@
      */
     public void received(String vm, PeerMessage message) {
         if (message instanceof LeadershipPing ping) {
-            duty.pingReceived(vm, ping);
+            election.pingReceived(vm, ping);
         } else if (message instanceof LeadershipPong pong) {
-            duty.pongReceived(vm, pong);
+            election.pongReceived(vm, pong);
         } else if (message instanceof PrimaryUnreachableReport report) {
             reports.add(report.group(), report.endpoint(), vm, loop.nowMillis());
         }
     }
 
-    private void decide(DatabaseGroup group, boolean unusableHere, long now) {
-        ReplicaPromotion run = runs.get(group.name());
-        if (run != null && !run.isSettled(now)) {
+    private void promoteIfNeeded(DatabaseGroup group, boolean unusableHere, long now) {
+        ReplicaPromotion current = promotions.get(group.name());
+        if (current != null && !current.isSettled(now)) {
             return;
         }
-        runs.remove(group.name());
+        promotions.remove(group.name());
         Option<Endpoint> primary = group.primary();
         String id = primary.map(Endpoint::id).getOrElse("");
         int cutOff = reports.count(group.name(), id, now) + (unusableHere ? 1 : 0);
         boolean draining = primary.exists(Endpoint::draining);
         boolean missing = unusableHere && primary.isEmpty();
-        if (draining || missing || cutOff >= Math.min(vms, Math.max(2, vms * CUT_OFF_PART))) {
-            ReplicaPromotion started = new ReplicaPromotion(self, group, authority, duty, loop);
-            runs.put(group.name(), started);
+        if (draining || missing || cutOff >= Math.min(vmCount, Math.max(2, vmCount * CUT_OFF_FRACTION))) {
+            ReplicaPromotion started = new ReplicaPromotion(self, group, authority, election, loop);
+            promotions.put(group.name(), started);
             started.start(primary, draining && group.isReachable(id), cutOff);
         }
     }
@@ -165,10 +165,10 @@
         return !group.endpoints().isEmpty() && !group.primary().exists(primary -> group.isReachable(primary.id()));
     }
 
-    private void report(DatabaseGroup group) {
+    private void sendReport(DatabaseGroup group) {
         String id = group.primary().map(Endpoint::id).getOrElse("");
-        duty.leader()
-                .filter(holder -> !holder.equals(self))
-                .forEach(holder -> peers.send(holder, new PrimaryUnreachableReport(group.name(), id)));
+        election.leader()
+                .filter(leader -> !leader.equals(self))
+                .forEach(leader -> peers.send(leader, new PrimaryUnreachableReport(group.name(), id)));
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionLeaderElection.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionLeaderElection.java
@@ -22,28 +22,28 @@
  */
 final class PromotionLeaderElection {
 
-    private static final String RECORD = "promotion";
+    private static final String RECORD_NAME = "promotion";
 
     /** Period in which the holder is asked for a sign of life, milliseconds. */
     private static final long PING_PERIOD_MILLIS = 500;
 
     /** The same for VMs that do not take the duty, milliseconds. */
-    private static final long FOLLOWER_PING_PERIOD_MILLIS = 1_500;
+    private static final long NON_CANDIDATE_PING_PERIOD_MILLIS = 1_500;
 
     /** Silence of the holder after which VMs that do not take the duty read again who holds it, milliseconds. */
-    private static final long FOLLOWER_SILENCE_MILLIS = 4_000;
+    private static final long NON_CANDIDATE_TIMEOUT_MILLIS = 4_000;
 
     /** Silence of the holder after which its duty is taken, milliseconds. */
-    private static final long SILENCE_MILLIS = 2_500;
+    private static final long LEADER_TIMEOUT_MILLIS = 2_500;
 
     /** Silence of the holder after which its duty is taken while a group needs a promotion, milliseconds. */
-    private static final long URGENT_SILENCE_MILLIS = 1_100;
+    private static final long URGENT_LEADER_TIMEOUT_MILLIS = 1_100;
 
     /** Greatest random delay of a takeover, milliseconds: the others then see the new record first. */
-    private static final int TAKEOVER_SPREAD_MILLIS = 400;
+    private static final int MAX_TAKEOVER_JITTER_MILLIS = 400;
 
     /** Pause after a failed call to the store, milliseconds. */
-    private static final long RETRY_MILLIS = 500;
+    private static final long STORE_RETRY_DELAY_MILLIS = 500;
 
     private static final Logger LOG = LogManager.getLogger(PromotionLeaderElection.class);
 
@@ -54,12 +54,12 @@
     private PeerLinks peers;
     private Option<VersionedObject<LeadershipRecord>> record = Option.none();
     private boolean candidate = true;
-    private boolean confirmed;
-    private long counted;
-    private boolean calling;
-    private long heardMillis;
-    private long pingedMillis;
-    private long notBeforeMillis;
+    private boolean leadershipConfirmed;
+    private long promotionCount;
+    private boolean operationPending;
+    private long lastContactMillis;
+    private long lastPingMillis;
+    private long nextAttemptMillis;
 
     PromotionLeaderElection(
             String self,
@@ -72,9 +72,9 @@
         this.loop = loop;
         this.random = random;
         this.peers = peers;
-        this.heardMillis = loop.nowMillis();
-        this.pingedMillis = heardMillis;
-        this.notBeforeMillis = heardMillis + random.nextInt(TAKEOVER_SPREAD_MILLIS);
+        this.lastContactMillis = loop.nowMillis();
+        this.lastPingMillis = lastContactMillis;
+        this.nextAttemptMillis = lastContactMillis + random.nextInt(MAX_TAKEOVER_JITTER_MILLIS);
     }
 
     void connect(PeerLinks links) {
@@ -88,7 +88,7 @@
 
     /** Whether this VM's process holds the duty as far as it knows. */
     boolean isLeader() {
-        return confirmed && leader().contains(self);
+        return leadershipConfirmed && leader().contains(self);
     }
 
     /** The holder as far as this VM knows. */
@@ -99,15 +99,15 @@
     /** Keeps in touch with the holder and takes its place when it is silent. */
     void tick(boolean urgent) {
         long now = loop.nowMillis();
-        if (calling || now < notBeforeMillis) {
+        if (operationPending || now < nextAttemptMillis) {
             return;
         }
         if (record.isEmpty()) {
-            read();
-        } else if (leader().contains(self) && !confirmed) {
-            take();
+            readRecord();
+        } else if (leader().contains(self) && !leadershipConfirmed) {
+            takeLeadership();
         } else if (!isLeader()) {
-            watchHolder(now, urgent);
+            monitorLeader(now, urgent);
         }
     }
 
@@ -118,9 +118,9 @@
             return;
         }
         VersionedObject<LeadershipRecord> current = record.get();
-        counted = Math.max(counted, current.value().get().promotions()) + 1;
-        LeadershipRecord next = current.value().get().withPromotions(counted);
-        table.write(RECORD, Option.some(current.revision()), next, result -> {
+        promotionCount = Math.max(promotionCount, current.value().get().promotions()) + 1;
+        LeadershipRecord next = current.value().get().withPromotions(promotionCount);
+        table.write(RECORD_NAME, Option.some(current.revision()), next, result -> {
             if (!isLeader() || epoch() != next.epoch()) {
                 // The duty was lost, or taken again under a new epoch, while the call was on its way.
                 done.accept(Option.none());
@@ -129,12 +129,12 @@
                 done.accept(Option.some(next));
             } else if (result.getLeft() instanceof StoreFailure.Conflict) {
                 LOG.warn("event=duty_conflict epoch={} action=read_again", next.epoch());
-                forget();
+                discardRecord();
                 done.accept(Option.none());
             } else {
                 // The tokens of the epoch are this process's own, and the platform refuses them once others used more.
                 LOG.warn("event=promotion_uncounted token={} cause=\"{}\"", next.fencingToken(), describe(result));
-                record = Option.some(new VersionedObject<>(RECORD, current.revision(), Option.some(next)));
+                record = Option.some(new VersionedObject<>(RECORD_NAME, current.revision(), Option.some(next)));
                 done.accept(Option.some(next));
             }
         });
@@ -143,23 +143,23 @@
     /** The platform has seen a higher token than this VM's. */
     void tokenRejected() {
         LOG.warn("event=duty_lost holder={} cause=token_refused", leader().getOrElse("none"));
-        forget();
+        discardRecord();
     }
 
     void pingReceived(String vm, LeadershipPing ping) {
         long epoch = epoch();
-        if (ping.epoch() > epoch && !calling) {
-            forget();
+        if (ping.epoch() > epoch && !operationPending) {
+            discardRecord();
         }
         peers.send(vm, new LeadershipPong(epoch, isLeader() ? self : leader().getOrElse("")));
     }
 
     void pongReceived(String vm, LeadershipPong pong) {
         long epoch = epoch();
-        if (pong.epoch() > epoch || !pong.holder().equals(vm)) {
-            forget();
+        if (pong.epoch() > epoch || !pong.leader().equals(vm)) {
+            discardRecord();
         } else if (leader().contains(vm)) {
-            heardMillis = loop.nowMillis();
+            lastContactMillis = loop.nowMillis();
         }
     }
 
@@ -170,86 +170,86 @@
                 .getOrElse(-1L);
     }
 
-    private void watchHolder(long now, boolean urgent) {
-        if (now - pingedMillis >= (candidate ? PING_PERIOD_MILLIS : FOLLOWER_PING_PERIOD_MILLIS)) {
-            pingedMillis = now;
+    private void monitorLeader(long now, boolean urgent) {
+        if (now - lastPingMillis >= (candidate ? PING_PERIOD_MILLIS : NON_CANDIDATE_PING_PERIOD_MILLIS)) {
+            lastPingMillis = now;
             peers.send(leader().get(), new LeadershipPing(epoch()));
         }
         if (!candidate) {
-            if (now - heardMillis > FOLLOWER_SILENCE_MILLIS) {
-                forget();
-                pause();
+            if (now - lastContactMillis > NON_CANDIDATE_TIMEOUT_MILLIS) {
+                discardRecord();
+                backOff();
             }
             return;
         }
-        if (now - heardMillis > (urgent ? URGENT_SILENCE_MILLIS : SILENCE_MILLIS)) {
-            calling = true;
-            loop.schedule(random.nextInt(TAKEOVER_SPREAD_MILLIS), this::takeIfSilent);
+        if (now - lastContactMillis > (urgent ? URGENT_LEADER_TIMEOUT_MILLIS : LEADER_TIMEOUT_MILLIS)) {
+            operationPending = true;
+            loop.schedule(random.nextInt(MAX_TAKEOVER_JITTER_MILLIS), this::takeOverIfUnresponsive);
         }
     }
 
-    private void takeIfSilent() {
-        calling = false;
-        if (record.isDefined() && loop.nowMillis() - heardMillis > URGENT_SILENCE_MILLIS) {
-            LOG.info("event=duty_takeover from={} silent_ms={}", leader().get(), loop.nowMillis() - heardMillis);
-            take();
+    private void takeOverIfUnresponsive() {
+        operationPending = false;
+        if (record.isDefined() && loop.nowMillis() - lastContactMillis > URGENT_LEADER_TIMEOUT_MILLIS) {
+            LOG.info("event=duty_takeover from={} silent_ms={}", leader().get(), loop.nowMillis() - lastContactMillis);
+            takeLeadership();
         }
     }
 
-    private void read() {
-        calling = true;
-        table.read(RECORD, result -> {
-            calling = false;
-            heardMillis = loop.nowMillis();
+    private void readRecord() {
+        operationPending = true;
+        table.read(RECORD_NAME, result -> {
+            operationPending = false;
+            lastContactMillis = loop.nowMillis();
             if (result.isLeft()) {
-                pause();
+                backOff();
             } else if (result.get().flatMap(VersionedObject::value).isDefined()) {
                 record = result.get();
             } else if (candidate) {
-                write(Option.none(), new LeadershipRecord(self, 1, 0));
+                writeRecord(Option.none(), new LeadershipRecord(self, 1, 0));
             } else {
-                pause();
+                backOff();
             }
         });
     }
 
-    private void take() {
+    private void takeLeadership() {
         VersionedObject<LeadershipRecord> current = record.get();
-        write(
+        writeRecord(
                 Option.some(current.revision()),
                 new LeadershipRecord(self, current.value().get().epoch() + 1, 0));
     }
 
-    private void write(Option<Long> expected, LeadershipRecord next) {
-        calling = true;
-        table.write(RECORD, expected, next, result -> {
-            calling = false;
-            heardMillis = loop.nowMillis();
+    private void writeRecord(Option<Long> expected, LeadershipRecord next) {
+        operationPending = true;
+        table.write(RECORD_NAME, expected, next, result -> {
+            operationPending = false;
+            lastContactMillis = loop.nowMillis();
             if (result.isRight()) {
                 record = Option.some(result.get());
-                confirmed = true;
-                counted = 0;
+                leadershipConfirmed = true;
+                promotionCount = 0;
                 LOG.info(
                         "event=duty_taken epoch={} revision={}",
                         next.epoch(),
                         result.get().revision());
             } else {
                 LOG.info("event=duty_not_taken epoch={} cause=\"{}\"", next.epoch(), describe(result));
-                forget();
-                pause();
+                discardRecord();
+                backOff();
             }
         });
     }
 
     /** Reads the record again at the next tick. */
-    private void forget() {
+    private void discardRecord() {
         record = Option.none();
-        confirmed = false;
-        heardMillis = loop.nowMillis();
+        leadershipConfirmed = false;
+        lastContactMillis = loop.nowMillis();
     }
 
-    private void pause() {
-        notBeforeMillis = loop.nowMillis() + RETRY_MILLIS;
+    private void backOff() {
+        nextAttemptMillis = loop.nowMillis() + STORE_RETRY_DELAY_MILLIS;
     }
 
     private static String describe(Either<StoreFailure, ?> result) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/ReplicaPromotion.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/ReplicaPromotion.java
@@ -18,45 +18,45 @@
 final class ReplicaPromotion {
 
     /** Time in which replicas answer the question for their positions, milliseconds. */
-    private static final long STATUS_MILLIS = 250;
+    private static final long STATUS_TIMEOUT_MILLIS = 250;
 
     /** Time between two questions when too few replicas answered, milliseconds. */
-    private static final long STATUS_RETRY_MILLIS = 300;
+    private static final long STATUS_RETRY_DELAY_MILLIS = 300;
 
     /** Pause before an order without an answer is repeated, milliseconds. */
-    private static final long ORDER_RETRY_MILLIS = 250;
+    private static final long ORDER_RETRY_DELAY_MILLIS = 250;
 
     /** Orders of one run, the first included. */
     private static final int MAX_ORDERS = 6;
 
     /** Time in which a promoted endpoint leads, milliseconds: a few times what groups take. */
-    private static final long LEAD_MILLIS = 3_000;
+    private static final long PROMOTION_TIMEOUT_MILLIS = 3_000;
 
     private static final Logger LOG = LogManager.getLogger(ReplicaPromotion.class);
 
     private final String self;
     private final DatabaseGroup group;
     private final PromotionAuthority authority;
-    private final PromotionLeaderElection duty;
+    private final PromotionLeaderElection election;
     private final DecisionLoop loop;
-    private final Set<String> rejected = new HashSet<>();
-    private Option<Endpoint> old = Option.none();
+    private final Set<String> rejectedEndpoints = new HashSet<>();
+    private Option<Endpoint> oldPrimary = Option.none();
     private boolean planned;
-    private boolean chosen;
+    private boolean targetChosen;
     private int orders;
     private boolean ended;
-    private long overAtMillis = Long.MAX_VALUE;
+    private long settledAtMillis = Long.MAX_VALUE;
 
     ReplicaPromotion(
             String self,
             DatabaseGroup group,
             PromotionAuthority authority,
-            PromotionLeaderElection duty,
+            PromotionLeaderElection election,
             DecisionLoop loop) {
         this.self = self;
         this.group = group;
         this.authority = authority;
-        this.duty = duty;
+        this.election = election;
         this.loop = loop;
     }
 
@@ -68,7 +68,7 @@
      * @param cutOff number of VMs that cannot use the present primary
      */
     void start(Option<Endpoint> replaced, boolean handover, int cutOff) {
-        old = replaced;
+        oldPrimary = replaced;
         planned = handover;
         LOG.info(
                 "event=promotion_started group={} primary={} planned={} cut_off_vms={} term={}",
@@ -77,52 +77,53 @@
                 handover,
                 cutOff,
                 group.term());
-        survey();
+        queryCandidates();
     }
 
     /** Whether the run has ended and its effect had time to show. */
     boolean isSettled(long nowMillis) {
         boolean replaced = group.primary()
-                .exists(primary -> !old.exists(o -> o.id().equals(primary.id())) && group.isReachable(primary.id()));
-        return ended && (replaced || nowMillis >= overAtMillis);
+                .exists(primary ->
+                        !oldPrimary.exists(o -> o.id().equals(primary.id())) && group.isReachable(primary.id()));
+        return ended && (replaced || nowMillis >= settledAtMillis);
     }
 
     private List<Endpoint> candidates() {
         return group.endpoints().stream()
                 .filter(endpoint -> !endpoint.draining()
-                        && !old.exists(primary -> primary.id().equals(endpoint.id()))
-                        && !rejected.contains(endpoint.id())
+                        && !oldPrimary.exists(primary -> primary.id().equals(endpoint.id()))
+                        && !rejectedEndpoints.contains(endpoint.id())
                         && group.isReachable(endpoint.id()))
                 .toList();
     }
 
-    private void survey() {
+    private void queryCandidates() {
         List<Endpoint> candidates = candidates();
-        List<Found> found = new ArrayList<>();
-        candidates.forEach(candidate -> group.queryStatus(candidate.id(), STATUS_MILLIS, status -> {
-            status.forEach(known -> found.add(new Found(candidate, known)));
-            if (found.size() == candidates.size()) {
-                choose(candidates, found);
+        List<CandidateStatus> statuses = new ArrayList<>();
+        candidates.forEach(candidate -> group.queryStatus(candidate.id(), STATUS_TIMEOUT_MILLIS, status -> {
+            status.forEach(known -> statuses.add(new CandidateStatus(candidate, known)));
+            if (statuses.size() == candidates.size()) {
+                chooseTarget(candidates, statuses);
             }
         }));
-        loop.schedule(STATUS_MILLIS, () -> choose(candidates, found));
+        loop.schedule(STATUS_TIMEOUT_MILLIS, () -> chooseTarget(candidates, statuses));
     }
 
-    private void choose(List<Endpoint> candidates, List<Found> found) {
-        if (ended || chosen) {
+    private void chooseTarget(List<Endpoint> candidates, List<CandidateStatus> statuses) {
+        if (ended || targetChosen) {
             return;
         }
-        chosen = true;
-        Option<Endpoint> best = best(candidates, found);
-        if (best.isDefined()) {
-            order(best.get());
+        targetChosen = true;
+        Option<Endpoint> target = mostAdvanced(candidates, statuses);
+        if (target.isDefined()) {
+            orderPromotion(target.get());
         } else {
             LOG.warn(
                     "event=promotion_postponed group={} candidates={} answered={}",
                     group.name(),
                     candidates.size(),
-                    found.size());
-            end(STATUS_RETRY_MILLIS);
+                    statuses.size());
+            end(STATUS_RETRY_DELAY_MILLIS);
         }
     }
 
@@ -130,96 +131,96 @@
      * The most advanced replica. With synchronous replicas, an acknowledged commit may be on one of them only, so all
      * but as many as may lack it must have answered.
      */
-    private Option<Endpoint> best(List<Endpoint> candidates, List<Found> found) {
+    private Option<Endpoint> mostAdvanced(List<Endpoint> candidates, List<CandidateStatus> statuses) {
         int replicas = (int) group.endpoints().stream()
-                .filter(endpoint -> !old.exists(o -> o.id().equals(endpoint.id())))
+                .filter(endpoint -> !oldPrimary.exists(o -> o.id().equals(endpoint.id())))
                 .count();
         int sync = group.declaration().syncReplicas();
-        boolean enough = sync == 0 || found.size() > replicas - sync;
-        if (!enough) {
+        boolean enoughAnswers = sync == 0 || statuses.size() > replicas - sync;
+        if (!enoughAnswers) {
             return Option.none();
         }
-        Option<Endpoint> advanced = Option.ofOptional(found.stream()
-                .max(Comparator.comparing(Found::received)
+        Option<Endpoint> best = Option.ofOptional(statuses.stream()
+                .max(Comparator.comparing(CandidateStatus::received)
                         .thenComparing(one -> one.endpoint().id()))
-                .map(Found::endpoint));
+                .map(CandidateStatus::endpoint));
         return sync > 0
-                ? advanced
-                : advanced.orElse(() -> Option.ofOptional(candidates.stream().findFirst()));
+                ? best
+                : best.orElse(() -> Option.ofOptional(candidates.stream().findFirst()));
     }
 
-    private void order(Endpoint target) {
-        duty.recordPromotion(counted -> {
-            if (counted.isEmpty()) {
+    private void orderPromotion(Endpoint target) {
+        election.recordPromotion(leadership -> {
+            if (leadership.isEmpty()) {
                 end(0);
                 return;
             }
-            send(target, counted.get());
+            sendOrder(target, leadership.get());
         });
     }
 
-    private void send(Endpoint target, LeadershipRecord counted) {
+    private void sendOrder(Endpoint target, LeadershipRecord leadership) {
         orders++;
         PromotionAuthority.Order order =
-                new PromotionAuthority.Order(group.name(), target.id(), self, counted.fencingToken());
+                new PromotionAuthority.Order(group.name(), target.id(), self, leadership.fencingToken());
         authority.promote(order, answer -> {
             LOG.info(
                     "event=promotion_ordered group={} endpoint={} token={} order={} answer={}",
                     group.name(),
                     target.id(),
-                    counted.fencingToken(),
+                    leadership.fencingToken(),
                     orders,
                     answer);
-            answered(target, counted, answer);
+            handleAnswer(target, leadership, answer);
         });
     }
 
-    private void answered(Endpoint target, LeadershipRecord counted, PromotionAuthority.Answer answer) {
+    private void handleAnswer(Endpoint target, LeadershipRecord leadership, PromotionAuthority.Answer answer) {
         switch (answer) {
             case ACCEPTED -> {
                 if (planned) {
-                    handOver();
+                    stepDownOldPrimary();
                 }
-                end(LEAD_MILLIS);
+                end(PROMOTION_TIMEOUT_MILLIS);
             }
             case REJECTED -> {
                 // Either the endpoint is down or another VM has used a higher token: the record tells.
-                rejected.add(target.id());
-                duty.tokenRejected();
-                end(ORDER_RETRY_MILLIS);
+                rejectedEndpoints.add(target.id());
+                election.tokenRejected();
+                end(ORDER_RETRY_DELAY_MILLIS);
             }
             default -> {
                 if (orders < MAX_ORDERS) {
-                    loop.schedule(ORDER_RETRY_MILLIS, () -> repeat(target, counted));
+                    loop.schedule(ORDER_RETRY_DELAY_MILLIS, () -> repeatOrder(target, leadership));
                 } else {
-                    end(ORDER_RETRY_MILLIS);
+                    end(ORDER_RETRY_DELAY_MILLIS);
                 }
             }
         }
     }
 
     /** Repeats an order unless the primary has become usable again or this VM has lost the duty meanwhile. */
-    private void repeat(Endpoint target, LeadershipRecord counted) {
+    private void repeatOrder(Endpoint target, LeadershipRecord leadership) {
         boolean usable = !planned && group.primary().exists(primary -> group.isReachable(primary.id()));
-        if (usable || !duty.isLeader()) {
+        if (usable || !election.isLeader()) {
             LOG.info(
                     "event=promotion_abandoned group={} endpoint={} token={} primary_usable={}",
                     group.name(),
                     target.id(),
-                    counted.fencingToken(),
+                    leadership.fencingToken(),
                     usable);
             end(0);
         } else {
-            send(target, counted);
+            sendOrder(target, leadership);
         }
     }
 
     /** Stops writes at the old primary, so that none is acknowledged that the new one has not received. */
-    private void handOver() {
-        old.forEach(primary -> group.stepDown(
+    private void stepDownOldPrimary() {
+        oldPrimary.forEach(primary -> group.stepDown(
                 primary.id(),
                 group.term() + 1,
-                STATUS_MILLIS,
+                STATUS_TIMEOUT_MILLIS,
                 status -> LOG.info(
                         "event=primary_stepped_down group={} endpoint={} answered={}",
                         group.name(),
@@ -229,10 +230,10 @@
 
     private void end(long settleMillis) {
         ended = true;
-        overAtMillis = loop.nowMillis() + settleMillis;
+        settledAtMillis = loop.nowMillis() + settleMillis;
     }
 
-    private record Found(Endpoint endpoint, ReplicationStatus status) {
+    private record CandidateStatus(Endpoint endpoint, ReplicationStatus status) {
 
         LogPosition received() {
             return status.received();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/UnreachabilityReports.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/UnreachabilityReports.java
@@ -7,23 +7,23 @@
 final class UnreachabilityReports {
 
     /** Time for which a report counts, milliseconds: three periods of sending. */
-    private static final long VALID_MILLIS = 900;
+    private static final long REPORT_VALIDITY_MILLIS = 900;
 
-    private final Map<String, Map<String, Long>> reportedMillis = new HashMap<>();
+    private final Map<String, Map<String, Long>> reportTimesMillis = new HashMap<>();
 
     void add(String group, String endpoint, String vm, long nowMillis) {
-        reportedMillis
+        reportTimesMillis
                 .computeIfAbsent(key(group, endpoint), key -> new HashMap<>())
                 .put(vm, nowMillis);
     }
 
     /** Number of VMs whose report about an endpoint is recent. */
     int count(String group, String endpoint, long nowMillis) {
-        Map<String, Long> reports = reportedMillis.get(key(group, endpoint));
+        Map<String, Long> reports = reportTimesMillis.get(key(group, endpoint));
         if (reports == null) {
             return 0;
         }
-        reports.values().removeIf(at -> nowMillis - at > VALID_MILLIS);
+        reports.values().removeIf(at -> nowMillis - at > REPORT_VALIDITY_MILLIS);
         return reports.size();
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
@@ -40,27 +40,27 @@
     private static final long PING_AFTER_MILLIS = 120;
 
     /** Silence after which a lender counts as lost, milliseconds: well below the time limits of statements. */
-    private static final long LOST_AFTER_MILLIS = 400;
+    private static final long LENDER_TIMEOUT_MILLIS = 400;
 
     /** Time after which a question for a position is given up, milliseconds. */
-    private static final long QUERY_MILLIS = 1_000;
+    private static final long POSITION_QUERY_TIMEOUT_MILLIS = 1_000;
 
     /** Time between two ticks from which on this VM counts as having been paused, milliseconds. */
-    private static final long PAUSE_MILLIS = 200;
+    private static final long SUSPENSION_THRESHOLD_MILLIS = 200;
 
     private static final Logger LOG = LogManager.getLogger(ConnectionBorrower.class);
 
     private final LongSupplier clock;
     private final LenderDirectory directory;
-    private final Map<Long, LeasedEndpointLink> borrowed = new HashMap<>();
-    private final Map<Long, Query> queries = new HashMap<>();
-    private final Map<String, Long> heardMillis = new HashMap<>();
-    private final Map<String, Long> pingedMillis = new HashMap<>();
+    private final Map<Long, LeasedEndpointLink> leasedLinks = new HashMap<>();
+    private final Map<Long, PendingQuery> pendingQueries = new HashMap<>();
+    private final Map<String, Long> lastContactMillis = new HashMap<>();
+    private final Map<String, Long> lastPingMillis = new HashMap<>();
     private final Map<String, Long> unansweredSinceMillis = new HashMap<>();
     private final String self;
     private PeerLinks peers;
-    private long nextNumber;
-    private long tickedMillis;
+    private long nextId;
+    private long lastTickMillis;
 
     /**
      * Creates a borrower that knows no other VM.
@@ -75,8 +75,8 @@
         this.peers = peers;
         this.clock = clock;
         this.directory = new LenderDirectory(self);
-        this.nextNumber = random.nextLong() >>> 1;
-        this.tickedMillis = clock.getAsLong();
+        this.nextId = random.nextLong() >>> 1;
+        this.lastTickMillis = clock.getAsLong();
     }
 
     /**
@@ -112,14 +112,14 @@
                 .lender(endpoint, clock.getAsLong())
                 .filter(vm -> !vm.equals(self))
                 .map(vm -> {
-                    long lease = nextNumber++;
+                    long leaseId = nextId++;
                     LeasedEndpointLink link = new LeasedEndpointLink(
-                            new LeasedEndpointLink.Origin(vm, endpoint.id(), lease), listener, this::send);
-                    borrowed.put(lease, link);
+                            new LeasedEndpointLink.Origin(vm, endpoint.id(), leaseId), listener, this::send);
+                    leasedLinks.put(leaseId, link);
                     send(
                             vm,
                             new LeaseRequest(
-                                    lease, endpoint.group(), endpoint.id(), account.name(), priority, waitMillis));
+                                    leaseId, endpoint.group(), endpoint.id(), account.name(), priority, waitMillis));
                     return link;
                 });
     }
@@ -128,9 +128,9 @@
     public boolean queryPosition(Endpoint endpoint, PositionListener listener) {
         Option<String> lender = directory.lender(endpoint, clock.getAsLong()).filter(vm -> !vm.equals(self));
         lender.forEach(vm -> {
-            long query = nextNumber++;
-            queries.put(query, new Query(vm, endpoint.id(), listener, clock.getAsLong()));
-            send(vm, new PositionQuery(query, endpoint.group(), endpoint.id()));
+            long queryId = nextId++;
+            pendingQueries.put(queryId, new PendingQuery(vm, endpoint.id(), listener, clock.getAsLong()));
+            send(vm, new PositionQuery(queryId, endpoint.group(), endpoint.id()));
         });
         return lender.isDefined();
     }
@@ -142,17 +142,17 @@
      * @param message the message
      */
     public void received(String vm, PeerMessage message) {
-        heardMillis.put(vm, clock.getAsLong());
+        lastContactMillis.put(vm, clock.getAsLong());
         unansweredSinceMillis.remove(vm);
         directory.markResponsive(vm);
         if (message instanceof LeaseGrant grant) {
-            find(vm, grant.lease()).forEach(LeasedEndpointLink::granted);
+            findLink(vm, grant.leaseId()).forEach(LeasedEndpointLink::granted);
         } else if (message instanceof LeaseReply reply) {
-            find(vm, reply.lease()).forEach(link -> link.replied(reply));
+            findLink(vm, reply.leaseId()).forEach(link -> link.replied(reply));
         } else if (message instanceof LeaseEnded ended) {
-            find(vm, ended.lease()).forEach(link -> ended(link, ended.reason()));
+            findLink(vm, ended.leaseId()).forEach(link -> leaseEnded(link, ended.reason()));
         } else if (message instanceof PositionAnswer answer) {
-            Option.of(queries.remove(answer.query())).forEach(query -> answered(vm, query, answer));
+            Option.of(pendingQueries.remove(answer.queryId())).forEach(query -> positionAnswered(vm, query, answer));
         }
     }
 
@@ -162,68 +162,68 @@
      * @param vm name of the VM
      */
     public void linkFailed(String vm) {
-        lost(vm, "link_failed");
+        lenderLost(vm, "link_failed");
     }
 
     /** Looks for lenders that do not answer; called every few milliseconds. */
     public void tick() {
         long now = clock.getAsLong();
-        boolean paused = now - tickedMillis > PAUSE_MILLIS;
-        tickedMillis = now;
-        borrowed.values().removeIf(LeasedEndpointLink::isClosed);
-        queries.values().removeIf(query -> now - query.sinceMillis() > QUERY_MILLIS);
-        if (paused) {
+        boolean suspended = now - lastTickMillis > SUSPENSION_THRESHOLD_MILLIS;
+        lastTickMillis = now;
+        leasedLinks.values().removeIf(LeasedEndpointLink::isClosed);
+        pendingQueries.values().removeIf(query -> now - query.sinceMillis() > POSITION_QUERY_TIMEOUT_MILLIS);
+        if (suspended) {
             unansweredSinceMillis.replaceAll((vm, at) -> now);
         }
-        Stream<String> lenders = borrowed.values().stream()
+        Stream<String> lenders = leasedLinks.values().stream()
                 .filter(LeasedEndpointLink::isAwaitingReply)
                 .map(link -> link.origin().vm());
-        Stream.concat(lenders, queries.values().stream().map(Query::vm))
+        Stream.concat(lenders, pendingQueries.values().stream().map(PendingQuery::vm))
                 .distinct()
                 .toList()
-                .forEach(vm -> askForSign(vm, now));
-        List.copyOf(unansweredSinceMillis.keySet()).forEach(vm -> checkSilence(vm, now));
+                .forEach(vm -> pingIfSilent(vm, now));
+        List.copyOf(unansweredSinceMillis.keySet()).forEach(vm -> checkTimeout(vm, now));
     }
 
     /** Asks a lender that has been silent for a while although it owes an answer, which may take its time. */
-    private void askForSign(String vm, long now) {
-        long quietSince = Math.max(heardMillis.getOrDefault(vm, 0L), pingedMillis.getOrDefault(vm, 0L));
-        if (now - quietSince > PING_AFTER_MILLIS) {
-            pingedMillis.put(vm, now);
+    private void pingIfSilent(String vm, long now) {
+        long lastActivityMillis = Math.max(lastContactMillis.getOrDefault(vm, 0L), lastPingMillis.getOrDefault(vm, 0L));
+        if (now - lastActivityMillis > PING_AFTER_MILLIS) {
+            lastPingMillis.put(vm, now);
             send(vm, new LenderPing(false));
         }
     }
 
-    private void checkSilence(String vm, long now) {
-        long silence = now - unansweredSinceMillis.get(vm);
-        if (silence > LOST_AFTER_MILLIS) {
-            lost(vm, "silent_ms_" + silence);
+    private void checkTimeout(String vm, long now) {
+        long silentMillis = now - unansweredSinceMillis.get(vm);
+        if (silentMillis > LENDER_TIMEOUT_MILLIS) {
+            lenderLost(vm, "silent_ms_" + silentMillis);
         }
     }
 
-    private void lost(String vm, String cause) {
-        List<LeasedEndpointLink> links = borrowed.values().stream()
+    private void lenderLost(String vm, String cause) {
+        List<LeasedEndpointLink> links = leasedLinks.values().stream()
                 .filter(link -> link.origin().vm().equals(vm) && !link.isClosed())
                 .toList();
-        boolean owed = unansweredSinceMillis.remove(vm) != null;
-        if (owed || !links.isEmpty()) {
+        boolean awaitingAnswer = unansweredSinceMillis.remove(vm) != null;
+        if (awaitingAnswer || !links.isEmpty()) {
             LOG.warn("event=lender_lost vm={} leases={} cause={}", vm, links.size(), cause);
             directory.markFailed(vm, clock.getAsLong());
-            links.forEach(link -> ended(link, LeaseEndReason.NO_LENDER));
+            links.forEach(link -> leaseEnded(link, LeaseEndReason.NO_LENDER));
         }
     }
 
-    private void ended(LeasedEndpointLink link, LeaseEndReason reason) {
+    private void leaseEnded(LeasedEndpointLink link, LeaseEndReason reason) {
         String vm = link.origin().vm();
         if (reason == LeaseEndReason.UNREACHABLE || reason == LeaseEndReason.NO_LENDER) {
             directory.markEndpointUnreachable(vm, link.origin().endpointId(), clock.getAsLong());
         }
-        borrowed.remove(link.origin().lease());
+        leasedLinks.remove(link.origin().leaseId());
         link.ended(reason);
     }
 
-    private void answered(String vm, Query query, PositionAnswer answer) {
-        if (!answer.reached()) {
+    private void positionAnswered(String vm, PendingQuery query, PositionAnswer answer) {
+        if (!answer.reachable()) {
             directory.markEndpointUnreachable(vm, query.endpointId(), clock.getAsLong());
             query.listener().unreachable();
         } else {
@@ -231,8 +231,9 @@
         }
     }
 
-    private Option<LeasedEndpointLink> find(String vm, long lease) {
-        return Option.of(borrowed.get(lease)).filter(link -> link.origin().vm().equals(vm) && !link.isClosed());
+    private Option<LeasedEndpointLink> findLink(String vm, long leaseId) {
+        return Option.of(leasedLinks.get(leaseId))
+                .filter(link -> link.origin().vm().equals(vm) && !link.isClosed());
     }
 
     /** Sends a message; all but the return of a connection are answered at once, by a pong if by nothing else. */
@@ -243,5 +244,5 @@
         peers.send(vm, message);
     }
 
-    private record Query(String vm, String endpointId, PositionListener listener, long sinceMillis) {}
+    private record PendingQuery(String vm, String endpointId, PositionListener listener, long sinceMillis) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionLender.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionLender.java
@@ -31,14 +31,14 @@
 public final class ConnectionLender {
 
     /** Time without a command after which a lent connection is taken back, milliseconds: its borrower is gone. */
-    private static final long UNUSED_MILLIS = 10_000;
+    private static final long LEASE_IDLE_TIMEOUT_MILLIS = 10_000;
 
     /** Leases at most; what lies beyond is refused at once. */
     private static final int MAX_LEASES = 2_000;
 
     private final DatabaseGroups groups;
     private final LongSupplier clock;
-    private final Map<Key, Lease> leases = new HashMap<>();
+    private final Map<LeaseKey, Lease> leases = new HashMap<>();
     private PeerLinks peers;
     private boolean stopping;
 
@@ -78,16 +78,19 @@
      */
     public void received(String vm, PeerMessage message) {
         if (message instanceof LeaseRequest request) {
-            lend(new Key(vm, request.lease()), request);
+            lend(new LeaseKey(vm, request.leaseId()), request);
         } else if (message instanceof LeaseCommand command) {
-            Key key = new Key(vm, command.lease());
-            Option.of(leases.get(key)).peek(lease -> lease.run(command)).onEmpty(() -> end(key, LeaseEndReason.BROKEN));
+            LeaseKey key = new LeaseKey(vm, command.leaseId());
+            Option.of(leases.get(key))
+                    .peek(lease -> lease.run(command))
+                    .onEmpty(() -> notifyEnded(key, LeaseEndReason.BROKEN));
         } else if (message instanceof LeaseReturn returned) {
-            Option.of(leases.remove(new Key(vm, returned.lease()))).forEach(Lease::release);
+            Option.of(leases.remove(new LeaseKey(vm, returned.leaseId()))).forEach(Lease::release);
         } else if (message instanceof LenderPing ping && !ping.reply()) {
             peers.send(vm, new LenderPing(true));
         } else if (message instanceof PositionQuery query) {
-            groups.find(query.group()).forEach(group -> group.queryPosition(query.endpoint(), new Answer(vm, query)));
+            groups.find(query.group())
+                    .forEach(group -> group.queryPosition(query.endpoint(), new PositionReplier(vm, query)));
         }
     }
 
@@ -99,54 +102,54 @@
     /** Takes back connections whose borrowers are gone; called every few milliseconds. */
     public void tick() {
         long now = clock.getAsLong();
-        for (Map.Entry<Key, Lease> entry : List.copyOf(leases.entrySet())) {
-            if (now - entry.getValue().lastUsedMillis() > UNUSED_MILLIS) {
+        for (Map.Entry<LeaseKey, Lease> entry : List.copyOf(leases.entrySet())) {
+            if (now - entry.getValue().lastUsedMillis() > LEASE_IDLE_TIMEOUT_MILLIS) {
                 leases.remove(entry.getKey());
                 entry.getValue().release();
-                end(entry.getKey(), LeaseEndReason.BROKEN);
+                notifyEnded(entry.getKey(), LeaseEndReason.BROKEN);
             }
         }
     }
 
-    private void lend(Key key, LeaseRequest request) {
+    private void lend(LeaseKey key, LeaseRequest request) {
         if (stopping) {
-            end(key, LeaseEndReason.NO_LENDER);
+            notifyEnded(key, LeaseEndReason.NO_LENDER);
             return;
         }
         if (leases.size() >= MAX_LEASES) {
-            end(key, LeaseEndReason.OVERLOADED);
+            notifyEnded(key, LeaseEndReason.OVERLOADED);
             return;
         }
         Account account = new Account(request.account(), Option.none());
-        Lease lease = new Lease(request, account, new Borrower(key), clock);
+        Lease lease = new Lease(request, account, new BorrowerNotifier(key), clock);
         leases.put(key, lease);
         Option<LeaseEndReason> refusal = groups.find(request.group())
                 .map(group -> group.lend(request.endpoint(), lease))
                 .getOrElse(Option.some(LeaseEndReason.NO_LENDER));
         refusal.forEach(reason -> {
             leases.remove(key);
-            end(key, reason);
+            notifyEnded(key, reason);
         });
     }
 
-    private void end(Key key, LeaseEndReason reason) {
-        peers.send(key.vm(), new LeaseEnded(key.lease(), reason));
+    private void notifyEnded(LeaseKey key, LeaseEndReason reason) {
+        peers.send(key.vm(), new LeaseEnded(key.leaseId(), reason));
     }
 
-    private record Key(String vm, long lease) {}
+    private record LeaseKey(String vm, long leaseId) {}
 
     /** Tells a borrower what becomes of its lease. */
-    private final class Borrower implements Lease.Events {
+    private final class BorrowerNotifier implements Lease.Listener {
 
-        private final Key key;
+        private final LeaseKey key;
 
-        Borrower(Key key) {
+        BorrowerNotifier(LeaseKey key) {
             this.key = key;
         }
 
         @Override
         public void granted() {
-            peers.send(key.vm(), new LeaseGrant(key.lease()));
+            peers.send(key.vm(), new LeaseGrant(key.leaseId()));
         }
 
         @Override
@@ -155,39 +158,39 @@
         }
 
         @Override
-        public void ended(String group, String endpointId, LeaseEndReason otherwise) {
+        public void ended(String group, String endpointId, LeaseEndReason defaultReason) {
             leases.remove(key);
-            end(
+            notifyEnded(
                     key,
                     groups.find(group)
                             .flatMap(found -> found.refusal(endpointId))
-                            .getOrElse(otherwise));
+                            .getOrElse(defaultReason));
         }
     }
 
-    private final class Answer implements PositionListener {
+    private final class PositionReplier implements PositionListener {
 
         private final String vm;
         private final PositionQuery query;
 
-        Answer(String vm, PositionQuery query) {
+        PositionReplier(String vm, PositionQuery query) {
             this.vm = vm;
             this.query = query;
         }
 
         @Override
         public void primaryConfirmed(LogPosition position) {
-            peers.send(vm, new PositionAnswer(query.query(), true, Option.some(position)));
+            peers.send(vm, new PositionAnswer(query.queryId(), true, Option.some(position)));
         }
 
         @Override
         public void notPrimary() {
-            peers.send(vm, new PositionAnswer(query.query(), true, Option.none()));
+            peers.send(vm, new PositionAnswer(query.queryId(), true, Option.none()));
         }
 
         @Override
         public void unreachable() {
-            peers.send(vm, new PositionAnswer(query.query(), false, Option.none()));
+            peers.send(vm, new PositionAnswer(query.queryId(), false, Option.none()));
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Lease.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Lease.java
@@ -19,27 +19,27 @@
 
     private final LeaseRequest request;
     private final Account account;
-    private final Events events;
+    private final Listener listener;
     private final LongSupplier clock;
-    private final long assignBeforeMillis;
+    private final long assignmentDeadlineMillis;
     private Option<PooledConnection> connection = Option.none();
-    private int received;
-    private int unanswered;
-    private boolean over;
-    private long usedMillis;
+    private int receivedCommands;
+    private int pendingReplies;
+    private boolean ended;
+    private long lastUsedMillis;
 
-    Lease(LeaseRequest request, Account account, Events events, LongSupplier clock) {
+    Lease(LeaseRequest request, Account account, Listener listener, LongSupplier clock) {
         this.request = request;
         this.account = account;
-        this.events = events;
+        this.listener = listener;
         this.clock = clock;
-        this.usedMillis = clock.getAsLong();
-        this.assignBeforeMillis = usedMillis + request.waitMillis();
+        this.lastUsedMillis = clock.getAsLong();
+        this.assignmentDeadlineMillis = lastUsedMillis + request.waitMillis();
     }
 
     /** When the borrower last sent something, milliseconds of the monotonic clock. */
     long lastUsedMillis() {
-        return usedMillis;
+        return lastUsedMillis;
     }
 
     @Override
@@ -74,7 +74,7 @@
 
     @Override
     public long assignmentDeadlineMillis() {
-        return assignBeforeMillis;
+        return assignmentDeadlineMillis;
     }
 
     @Override
@@ -89,43 +89,43 @@
 
     @Override
     public void assigned(PooledConnection lent, Option<LogPosition> floor) {
-        if (over) {
+        if (ended) {
             lent.release();
             return;
         }
         connection = Option.some(lent);
-        events.granted();
+        listener.granted();
     }
 
     @Override
     public void refused(ErrorCode code, String reason) {
-        if (!over) {
+        if (!ended) {
             end(LeaseEndReason.OVERLOADED);
         }
     }
 
     /** Runs a command of the borrower. */
     void run(LeaseCommand command) {
-        usedMillis = clock.getAsLong();
-        if (connection.isEmpty() || command.number() != received) {
+        lastUsedMillis = clock.getAsLong();
+        if (connection.isEmpty() || command.sequence() != receivedCommands) {
             // A command before this one was lost with the link that carried it.
             connection.forEach(PooledConnection::discard);
-            if (!over) {
+            if (!ended) {
                 end(LeaseEndReason.BROKEN);
             }
             return;
         }
-        received++;
-        unanswered++;
+        receivedCommands++;
+        pendingReplies++;
         connection.get().applySession(command.values(), command.shape());
-        connection.get().send(command.command(), new CommandReply(command.number()));
+        connection.get().send(command.command(), new CommandReply(command.sequence()));
     }
 
     /** The borrower returned the connection or gave up its request. */
     void release() {
-        over = true;
+        ended = true;
         connection.forEach(lent -> {
-            if (unanswered > 0) {
+            if (pendingReplies > 0) {
                 lent.discard();
             } else {
                 lent.release();
@@ -135,13 +135,13 @@
     }
 
     private void end(LeaseEndReason reason) {
-        over = true;
+        ended = true;
         connection = Option.none();
-        events.ended(request.group(), request.endpoint(), reason);
+        listener.ended(request.group(), request.endpoint(), reason);
     }
 
     /** Told what becomes of a lease. */
-    interface Events {
+    interface Listener {
 
         /** A connection is lent. */
         void granted();
@@ -154,33 +154,33 @@
          *
          * @param group the endpoint's group
          * @param endpointId the endpoint
-         * @param otherwise why, unless the endpoint cannot be reached
+         * @param defaultReason why, unless the endpoint cannot be reached
          */
-        void ended(String group, String endpointId, LeaseEndReason otherwise);
+        void ended(String group, String endpointId, LeaseEndReason defaultReason);
     }
 
     private final class CommandReply implements ReplyHandler {
 
-        private final int number;
+        private final int sequence;
 
-        CommandReply(int number) {
-            this.number = number;
+        CommandReply(int sequence) {
+            this.sequence = sequence;
         }
 
         @Override
         public void replied(Reply reply) {
-            unanswered--;
+            pendingReplies--;
             if (reply.error().contains(ErrorCode.STATEMENT_UNKNOWN)) {
                 connection.forEach(PooledConnection::clearPrepared);
             }
-            if (!over) {
-                events.replied(new LeaseReply(request.lease(), number, reply));
+            if (!ended) {
+                listener.replied(new LeaseReply(request.leaseId(), sequence, reply));
             }
         }
 
         @Override
         public void connectionLost() {
-            if (!over) {
+            if (!ended) {
                 end(LeaseEndReason.BROKEN);
             }
         }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
@@ -20,10 +20,10 @@
     private final Origin origin;
     private final EndpointLink.Listener listener;
     private final BiConsumer<String, PeerMessage> sender;
-    private Map<String, String> values = Map.of();
+    private Map<String, String> sessionValues = Map.of();
     private Option<PreparedShape> shape = Option.none();
-    private int sent;
-    private int answered;
+    private int sentCommands;
+    private int receivedReplies;
     private boolean granted;
     private boolean closed;
 
@@ -43,20 +43,20 @@
 
     /** Whether the request or a command waits for an answer. */
     boolean isAwaitingReply() {
-        return !closed && (!granted || answered < sent);
+        return !closed && (!granted || receivedReplies < sentCommands);
     }
 
     @Override
     public void applySession(Map<String, String> wanted, Option<PreparedShape> prepared) {
-        values = Map.copyOf(wanted);
+        sessionValues = Map.copyOf(wanted);
         shape = prepared;
     }
 
     @Override
     public void send(List<EndpointCommand> commands) {
         for (EndpointCommand command : commands) {
-            sender.accept(origin.vm(), new LeaseCommand(origin.lease(), sent, values, shape, command));
-            sent++;
+            sender.accept(origin.vm(), new LeaseCommand(origin.leaseId(), sentCommands, sessionValues, shape, command));
+            sentCommands++;
         }
     }
 
@@ -64,7 +64,7 @@
     public void close() {
         if (!closed) {
             closed = true;
-            sender.accept(origin.vm(), new LeaseReturn(origin.lease()));
+            sender.accept(origin.vm(), new LeaseReturn(origin.leaseId()));
         }
     }
 
@@ -76,13 +76,13 @@
     }
 
     void replied(LeaseReply reply) {
-        if (reply.number() != answered) {
+        if (reply.sequence() != receivedReplies) {
             // An answer was lost with the link that carried it.
             close();
             listener.leaseEnded(LeaseEndReason.BROKEN);
             return;
         }
-        answered++;
+        receivedReplies++;
         listener.replied(reply.reply());
     }
 
@@ -97,7 +97,7 @@
      *
      * @param vm name of the lender
      * @param endpointId the endpoint
-     * @param lease this VM's number of the lease
+     * @param leaseId this VM's number of the lease
      */
-    record Origin(String vm, String endpointId, long lease) {}
+    record Origin(String vm, String endpointId, long leaseId) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LenderDirectory.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LenderDirectory.java
@@ -16,20 +16,20 @@
 final class LenderDirectory {
 
     /** Candidates of an endpoint; beyond them, VMs connect themselves. */
-    private static final int CANDIDATES = 3;
+    private static final int MAX_CANDIDATES = 3;
 
     /** Time for which a VM is not asked after a failure, milliseconds; doubled with each failure that follows. */
-    private static final long FIRST_PAUSE_MILLIS = 1_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 1_000;
 
-    private static final long MAX_PAUSE_MILLIS = 30_000;
+    private static final long MAX_BACKOFF_MILLIS = 30_000;
 
     /** Time for which a VM is not asked for an endpoint that it does not reach, milliseconds. */
-    private static final long UNREACHABLE_PAUSE_MILLIS = 3_000;
+    private static final long UNREACHABLE_BACKOFF_MILLIS = 3_000;
 
     private final String self;
     private final Map<String, List<String>> candidates = new HashMap<>();
     private final Map<String, Failure> failures = new HashMap<>();
-    private final Map<Path, Long> blockedUntilMillis = new HashMap<>();
+    private final Map<LenderEndpoint, Long> unreachableUntilMillis = new HashMap<>();
     private Map<String, String> dataCentres = Map.of();
 
     LenderDirectory(String self) {
@@ -45,7 +45,7 @@
         dataCentres = Map.copyOf(dataCentreOf);
         candidates.clear();
         failures.keySet().retainAll(dataCentres.keySet());
-        blockedUntilMillis.keySet().removeIf(path -> !dataCentres.containsKey(path.vm()));
+        unreachableUntilMillis.keySet().removeIf(key -> !dataCentres.containsKey(key.vm()));
     }
 
     /**
@@ -58,8 +58,9 @@
         for (String vm : candidates(endpoint)) {
             Failure failure = failures.get(vm);
             boolean failed = failure != null && nowMillis < failure.untilMillis();
-            boolean blocked = nowMillis < blockedUntilMillis.getOrDefault(new Path(vm, endpoint.id()), nowMillis);
-            if (vm.equals(self) || (!failed && !blocked)) {
+            boolean unreachable =
+                    nowMillis < unreachableUntilMillis.getOrDefault(new LenderEndpoint(vm, endpoint.id()), nowMillis);
+            if (vm.equals(self) || (!failed && !unreachable)) {
                 return Option.some(vm);
             }
         }
@@ -72,8 +73,9 @@
         if (previous != null && nowMillis < previous.untilMillis()) {
             return;
         }
-        long pause = previous == null ? FIRST_PAUSE_MILLIS : Math.min(MAX_PAUSE_MILLIS, previous.pauseMillis() * 2);
-        failures.put(vm, new Failure(pause, nowMillis + pause));
+        long backoffMillis =
+                previous == null ? INITIAL_BACKOFF_MILLIS : Math.min(MAX_BACKOFF_MILLIS, previous.backoffMillis() * 2);
+        failures.put(vm, new Failure(backoffMillis, nowMillis + backoffMillis));
     }
 
     /** A VM has answered. */
@@ -83,27 +85,27 @@
 
     /** A VM does not reach an endpoint. */
     void markEndpointUnreachable(String vm, String endpointId, long nowMillis) {
-        blockedUntilMillis.put(new Path(vm, endpointId), nowMillis + UNREACHABLE_PAUSE_MILLIS);
+        unreachableUntilMillis.put(new LenderEndpoint(vm, endpointId), nowMillis + UNREACHABLE_BACKOFF_MILLIS);
     }
 
     private List<String> candidates(Endpoint endpoint) {
         return candidates.computeIfAbsent(endpoint.id(), id -> {
-            List<String> local = ranked(id, endpoint.dataCentre());
-            return local.isEmpty() ? ranked(id, "") : local;
+            List<String> local = rankedVms(id, endpoint.dataCentre());
+            return local.isEmpty() ? rankedVms(id, "") : local;
         });
     }
 
     /** The first VMs of a data centre, or of all when it is empty. */
-    private List<String> ranked(String endpointId, String dataCentre) {
+    private List<String> rankedVms(String endpointId, String dataCentre) {
         return dataCentres.entrySet().stream()
                 .filter(vm -> dataCentre.isEmpty() || vm.getValue().equals(dataCentre))
                 .map(Map.Entry::getKey)
                 .sorted(RendezvousUtils.byScore(endpointId, vm -> vm))
-                .limit(CANDIDATES)
+                .limit(MAX_CANDIDATES)
                 .toList();
     }
 
-    private record Failure(long pauseMillis, long untilMillis) {}
+    private record Failure(long backoffMillis, long untilMillis) {}
 
-    private record Path(String vm, String endpointId) {}
+    private record LenderEndpoint(String vm, String endpointId) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
@@ -54,7 +54,7 @@
         this.receiver = receiver;
         this.linkFailed = linkFailed;
         GrizzlyPeerTransport bound = new GrizzlyPeerTransport(
-                options, registry(), new Inbound(), new MetricRegistry(), random, loop::nowMillis);
+                options, registry(), new InboundListener(), new MetricRegistry(), random, loop::nowMillis);
         this.transport = bound;
         this.self = bound.self();
     }
@@ -83,12 +83,12 @@
 
     @Override
     public void sendToSubset(PeerMessage message) {
-        List<VmAddress> some = new ArrayList<>(addresses.values());
-        if (some.size() > MAX_RECIPIENTS) {
-            Collections.shuffle(some, random);
-            some = some.subList(0, MAX_RECIPIENTS);
+        List<VmAddress> recipients = new ArrayList<>(addresses.values());
+        if (recipients.size() > MAX_RECIPIENTS) {
+            Collections.shuffle(recipients, random);
+            recipients = recipients.subList(0, MAX_RECIPIENTS);
         }
-        some.forEach(to -> transport.send(to, message));
+        recipients.forEach(to -> transport.send(to, message));
     }
 
     @Override
@@ -118,7 +118,7 @@
                 .build();
     }
 
-    private final class Inbound implements PeerListener {
+    private final class InboundListener implements PeerListener {
 
         @Override
         public void messageReceived(VmAddress from, PeerMessage message) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseEnded.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseEnded.java
@@ -6,7 +6,7 @@
 /**
  * The lender does not lend a connection, or no longer.
  *
- * @param lease the borrower's number
+ * @param leaseId the borrower's number
  * @param reason why
  */
-public record LeaseEnded(long lease, LeaseEndReason reason) implements PeerMessage {}
+public record LeaseEnded(long leaseId, LeaseEndReason reason) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseGrant.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseGrant.java
@@ -5,6 +5,6 @@
 /**
  * A connection is lent until the borrower returns it.
  *
- * @param lease the borrower's number
+ * @param leaseId the borrower's number
  */
-public record LeaseGrant(long lease) implements PeerMessage {}
+public record LeaseGrant(long leaseId) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseReply.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseReply.java
@@ -6,8 +6,8 @@
 /**
  * The answer to a command on a lent connection.
  *
- * @param lease the borrower's number
- * @param number the command's number
+ * @param leaseId the borrower's number
+ * @param sequence the command's number
  * @param reply the answer
  */
-public record LeaseReply(long lease, int number, Reply reply) implements PeerMessage {}
+public record LeaseReply(long leaseId, int sequence, Reply reply) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseReturn.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseReturn.java
@@ -5,6 +5,6 @@
 /**
  * The borrower returns a connection or gives up its request.
  *
- * @param lease the borrower's number
+ * @param leaseId the borrower's number
  */
-public record LeaseReturn(long lease) implements PeerMessage {}
+public record LeaseReturn(long leaseId) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PositionAnswer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PositionAnswer.java
@@ -7,8 +7,8 @@
 /**
  * Answers a question for a primary's position.
  *
- * @param query the sender's number
- * @param reached whether the endpoint can be reached
+ * @param queryId the sender's number
+ * @param reachable whether the endpoint can be reached
  * @param position the position; nothing when the endpoint is not the primary or cannot be reached
  */
-public record PositionAnswer(long query, boolean reached, Option<LogPosition> position) implements PeerMessage {}
+public record PositionAnswer(long queryId, boolean reachable, Option<LogPosition> position) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PositionQuery.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PositionQuery.java
@@ -5,8 +5,8 @@
 /**
  * Asks whether an endpoint is the primary and for its log position at a time after the question.
  *
- * @param query number that the sender chose
+ * @param queryId number that the sender chose
  * @param group the endpoint's group
  * @param endpoint the endpoint
  */
-public record PositionQuery(long query, String group, String endpoint) implements PeerMessage {}
+public record PositionQuery(long queryId, String group, String endpoint) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetMembership.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetMembership.java
@@ -30,51 +30,51 @@
 /** Makes this VM known to the others through the store and keeps links to them. */
 final class FleetMembership {
 
-    private static final String SECRET = "secret";
+    private static final String SECRET_NAME = "secret";
     private static final int SECRET_BYTES = 24;
 
     /** Pause before a failed call to the store is repeated, milliseconds. */
-    private static final long RETRY_MILLIS = 400;
+    private static final long RETRY_DELAY_MILLIS = 400;
 
     /** Period in which the list of VMs is read, milliseconds: VMs come and go rarely. */
-    private static final long LIST_MILLIS = 5_000;
+    private static final long LIST_PERIOD_MILLIS = 5_000;
 
     /** Period in which the list of VMs is read until the fleet has started, milliseconds. */
-    private static final long START_LIST_MILLIS = 1_500;
+    private static final long STARTUP_LIST_PERIOD_MILLIS = 1_500;
 
     /** Reads of the list of VMs at the shorter period. */
-    private static final int START_LISTS = 6;
+    private static final int STARTUP_LIST_COUNT = 6;
 
     private static final Logger LOG = LogManager.getLogger(FleetMembership.class);
 
-    private final VmDependencies ports;
+    private final VmDependencies dependencies;
     private final DecisionLoop loop;
     private final BiConsumer<String, PeerMessage> receiver;
     private final Consumer<PeerLinks> connected;
     private final Consumer<Map<String, String>> changed;
     private final Consumer<String> linkFailed;
     private Option<DefaultPeerLinks> links = Option.none();
-    private List<VersionedObject<VmEntry>> listed = List.of();
+    private List<VersionedObject<VmEntry>> entries = List.of();
     private Map<String, String> dataCentres = Map.of();
-    private int lists;
+    private int listCount;
 
     /**
      * Creates the fleet of one VM.
      *
-     * @param ports the way to the outside
+     * @param dependencies the way to the outside
      * @param receiver takes messages of other VMs
      * @param connected told once messages can be sent
      * @param linkFailed told the name of a VM to which messages may have been lost
      * @param changed told the data centre of all VMs by name, this one included
      */
     FleetMembership(
-            VmDependencies ports,
+            VmDependencies dependencies,
             BiConsumer<String, PeerMessage> receiver,
             Consumer<PeerLinks> connected,
             Consumer<String> linkFailed,
             Consumer<Map<String, String>> changed) {
-        this.ports = ports;
-        this.loop = ports.loop();
+        this.dependencies = dependencies;
+        this.loop = dependencies.loop();
         this.receiver = receiver;
         this.connected = connected;
         this.linkFailed = linkFailed;
@@ -82,16 +82,16 @@
     }
 
     void start() {
-        list();
+        scheduleList();
         readSecret();
     }
 
     private void readSecret() {
-        ports.secrets().read(SECRET, result -> {
+        dependencies.secrets().read(SECRET_NAME, result -> {
             if (result.isLeft()) {
                 retry(result, this::readSecret);
             } else if (result.get().flatMap(VersionedObject::value).isDefined()) {
-                link(result.get().get().value().get());
+                openLinks(result.get().get().value().get());
             } else {
                 createSecret();
             }
@@ -102,19 +102,19 @@
         byte[] bytes = new byte[SECRET_BYTES];
         new SecureRandom().nextBytes(bytes);
         FleetSecret secret = new FleetSecret(Base64.getEncoder().encodeToString(bytes));
-        ports.secrets().write(SECRET, Option.none(), secret, result -> {
+        dependencies.secrets().write(SECRET_NAME, Option.none(), secret, result -> {
             if (result.isRight()) {
-                link(secret);
+                openLinks(secret);
             } else {
                 retry(result, this::readSecret);
             }
         });
     }
 
-    private void link(FleetSecret secret) {
-        VmEntry self = ports.self();
+    private void openLinks(FleetSecret secret) {
+        VmEntry self = dependencies.self();
         PeerOptions options = new PeerOptions(
-                new VmId(ports.name()),
+                new VmId(dependencies.name()),
                 self.incarnation(),
                 new DataCentreId(self.dataCentre()),
                 new CellId(self.dataCentre()),
@@ -125,17 +125,17 @@
         DefaultPeerLinks opened =
                 new DefaultPeerLinks(options, loop, new Random(self.incarnation()), receiver, linkFailed);
         links = Option.some(opened);
-        opened.update(addresses(listed));
+        opened.update(addresses(entries));
         connected.accept(opened);
         register(Option.none());
     }
 
     private void register(Option<Long> expected) {
-        ports.vms().write(ports.name(), expected, ports.self(), result -> {
+        dependencies.vms().write(dependencies.name(), expected, dependencies.self(), result -> {
             if (result.isRight()) {
                 LOG.info("event=vm_registered revision={}", result.get().revision());
             } else if (result.getLeft() instanceof StoreFailure.Conflict) {
-                ports.vms().read(ports.name(), found -> {
+                dependencies.vms().read(dependencies.name(), found -> {
                     if (found.isLeft()) {
                         retry(found, () -> register(Option.none()));
                     } else {
@@ -148,40 +148,41 @@
         });
     }
 
-    private void list() {
-        lists++;
-        loop.schedule(lists < START_LISTS ? START_LIST_MILLIS : LIST_MILLIS, this::list);
+    private void scheduleList() {
+        listCount++;
+        loop.schedule(
+                listCount < STARTUP_LIST_COUNT ? STARTUP_LIST_PERIOD_MILLIS : LIST_PERIOD_MILLIS, this::scheduleList);
         requestList();
     }
 
     private void requestList() {
         // A VM that starts must know all that started before it.
-        ports.vms().list(!dataCentres.isEmpty(), result -> result.peek(this::listed)
+        dependencies.vms().list(!dataCentres.isEmpty(), result -> result.peek(this::applyListing)
                 .peekLeft(failure -> {
                     LOG.warn("event=vm_list_failed cause=\"{}\"", failure.describe());
                     if (dataCentres.isEmpty()) {
-                        loop.schedule(RETRY_MILLIS, this::requestList);
+                        loop.schedule(RETRY_DELAY_MILLIS, this::requestList);
                     }
                 }));
     }
 
-    private void listed(Listing<VmEntry> listing) {
+    private void applyListing(Listing<VmEntry> listing) {
         List<VersionedObject<VmEntry>> known = listing.objects().stream()
                 .filter(stored -> stored.value().isDefined())
                 .toList();
-        Map<String, String> now = new HashMap<>();
-        now.put(ports.name(), ports.self().dataCentre());
-        known.forEach(stored -> now.put(stored.name(), stored.value().get().dataCentre()));
-        listed = known;
+        Map<String, String> current = new HashMap<>();
+        current.put(dependencies.name(), dependencies.self().dataCentre());
+        known.forEach(stored -> current.put(stored.name(), stored.value().get().dataCentre()));
+        entries = known;
         links.forEach(opened -> opened.update(addresses(known)));
-        if (!now.equals(dataCentres)) {
+        if (!current.equals(dataCentres)) {
             LOG.info(
                     "event=fleet_changed from={} to={} revision={}",
                     dataCentres.size(),
-                    now.size(),
+                    current.size(),
                     listing.revision());
-            dataCentres = now;
-            changed.accept(now);
+            dataCentres = current;
+            changed.accept(current);
         }
     }
 
@@ -203,6 +204,6 @@
 
     private void retry(Either<StoreFailure, ?> result, Runnable again) {
         LOG.warn("event=fleet_call_failed cause=\"{}\"", result.getLeft().describe());
-        loop.schedule(RETRY_MILLIS, again);
+        loop.schedule(RETRY_DELAY_MILLIS, again);
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
@@ -13,7 +13,7 @@
 final class IsolationDetector {
 
     /** Silence of the other data centres after which this VM counts as cut off, milliseconds: several lost pings. */
-    private static final long CONFIRM_MILLIS = 600;
+    private static final long CONFIRMATION_MILLIS = 600;
 
     /** Period in which VMs of other data centres are asked for a sign of life, milliseconds. */
     private static final long PING_PERIOD_MILLIS = 150;
@@ -25,7 +25,7 @@
     private boolean isolated;
     private long silentSinceMillis;
     private long isolatedSinceMillis;
-    private long pingedMillis;
+    private long lastPingMillis;
 
     /**
      * Creates a detector that sees no isolation.
@@ -35,7 +35,7 @@
      */
     IsolationDetector(Runnable ping, long nowMillis) {
         this.ping = ping;
-        this.pingedMillis = nowMillis;
+        this.lastPingMillis = nowMillis;
     }
 
     /** A message of a VM of another data centre has arrived. */
@@ -54,11 +54,11 @@
             silentSinceMillis = nowMillis;
         }
         suspected = remotePrimariesLost;
-        if (suspected && nowMillis - pingedMillis >= PING_PERIOD_MILLIS) {
-            pingedMillis = nowMillis;
+        if (suspected && nowMillis - lastPingMillis >= PING_PERIOD_MILLIS) {
+            lastPingMillis = nowMillis;
             ping.run();
         }
-        boolean cutOff = suspected && nowMillis - silentSinceMillis >= CONFIRM_MILLIS;
+        boolean cutOff = suspected && nowMillis - silentSinceMillis >= CONFIRMATION_MILLIS;
         if (cutOff != isolated) {
             LOG.warn("event=isolation_changed isolated={} silent_ms={}", cutOff, nowMillis - silentSinceMillis);
             isolatedSinceMillis = nowMillis;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/PoolVm.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/PoolVm.java
@@ -53,24 +53,24 @@
      * Longest watch of the configuration, milliseconds: with the call's time limit it ends within the 4 s in which a VM
      * must again follow changes after a connection has gone silent.
      */
-    private static final long CONFIGURATION_WAIT_MILLIS = 2_800;
+    private static final long MAX_CONFIGURATION_WATCH_MILLIS = 2_800;
 
     /** Longest watch of the endpoints, milliseconds: a stopping endpoint must be left within 7 s. */
-    private static final long ENDPOINTS_WAIT_MILLIS = 4_500;
+    private static final long MAX_ENDPOINT_WATCH_MILLIS = 4_500;
 
     /** Time in which the balancer notices that the VM is not ready, milliseconds: two probes of a second. */
-    private static final long UNREADY_MILLIS = 2_200;
+    private static final long READINESS_PROPAGATION_MILLIS = 2_200;
 
     /** Idle sessions closed per tick while the VM is cut off, so that their callers do not reconnect all at once. */
     private static final int SESSIONS_CLOSED_PER_TICK = 1;
 
     /** VMs of other data centres that are asked for a sign of life at a time. */
-    private static final int PINGED_VMS = 3;
+    private static final int ISOLATION_PING_COUNT = 3;
 
     private static final Logger LOG = LogManager.getLogger(PoolVm.class);
 
-    private final VmDependencies ports;
-    private final Random shuffle;
+    private final VmDependencies dependencies;
+    private final Random pingRandom;
     private final MetricRegistry metrics = new MetricRegistry();
     private final DecisionLoop loop;
     private final EndpointDirectory directory;
@@ -79,14 +79,14 @@
     private final DatabaseGroups groups;
     private final AccountLimiter limiter;
     private final Sessions sessions;
-    private final PrimaryFailover promotions;
-    private final FleetMembership fleet;
-    private final TableWatcher<Catalog> catalogs;
-    private final TableWatcher<Endpoint> endpoints;
-    private final StoreSynchronizer follower;
-    private final IsolationDetector isolation;
+    private final PrimaryFailover failover;
+    private final FleetMembership membership;
+    private final TableWatcher<Catalog> catalogWatcher;
+    private final TableWatcher<Endpoint> endpointWatcher;
+    private final StoreSynchronizer synchronizer;
+    private final IsolationDetector isolationDetector;
     private volatile Catalog catalog = Catalog.EMPTY;
-    private volatile Set<String> vms = Set.of();
+    private volatile Set<String> vmNames = Set.of();
     private PeerLinks peers;
     private volatile long endpointsRevision = -1;
     private volatile boolean draining;
@@ -96,52 +96,63 @@
     /**
      * Creates a VM.
      *
-     * @param ports its way to the outside
+     * @param dependencies its way to the outside
      */
-    public PoolVm(VmDependencies ports) {
-        this.ports = ports;
-        this.loop = ports.loop();
-        this.shuffle = new Random(ports.self().incarnation());
+    public PoolVm(VmDependencies dependencies) {
+        this.dependencies = dependencies;
+        this.loop = dependencies.loop();
+        this.pingRandom = new Random(dependencies.self().incarnation());
         this.directory = new EndpointDirectory(loop::nowMillis);
         this.peers = new NoPeerLinks();
-        this.borrower = new ConnectionBorrower(ports.name(), peers, ports.random(), loop::nowMillis);
+        this.borrower = new ConnectionBorrower(dependencies.name(), peers, dependencies.random(), loop::nowMillis);
         this.groups = new DatabaseGroups(new GroupContext(
-                ports.self().dataCentre(),
-                ports.connector(),
+                dependencies.self().dataCentre(),
+                dependencies.connector(),
                 borrower,
-                ports.decoder(),
+                dependencies.statusDecoder(),
                 (group, endpoint) -> peers.sendToSubset(new ConnectionShortage(group, endpoint)),
                 loop::nowMillis,
-                ports.timeOfDay()));
+                dependencies.timeOfDay()));
         this.lender = new ConnectionLender(groups, peers, loop::nowMillis);
         this.limiter = new AccountLimiter(peers, loop::nowMillis);
-        this.promotions = new PrimaryFailover(
-                ports.name(), groups, ports.authority(), ports.duties(), loop, ports.random(), peers);
-        this.fleet =
-                new FleetMembership(ports, this::received, this::connected, borrower::linkFailed, this::fleetChanged);
+        this.failover = new PrimaryFailover(
+                dependencies.name(),
+                groups,
+                dependencies.promotionAuthority(),
+                dependencies.leadershipRecords(),
+                loop,
+                dependencies.random(),
+                peers);
+        this.membership = new FleetMembership(
+                dependencies, this::received, this::connected, borrower::linkFailed, this::fleetChanged);
         this.sessions = new Sessions(
                 groups, limiter, new RequestLog(loop::nowMillis), new RequestMetrics(metrics), loop::nowMillis);
-        this.catalogs = new TableWatcher<>(
+        this.catalogWatcher = new TableWatcher<>(
                 "configuration",
-                ports.catalogs(),
+                dependencies.catalogs(),
                 new CatalogListener(),
-                CONFIGURATION_WAIT_MILLIS,
+                MAX_CONFIGURATION_WATCH_MILLIS,
+                loop,
+                dependencies.random());
+        this.endpointWatcher = new TableWatcher<>(
+                "endpoints",
+                dependencies.endpoints(),
+                new EndpointListener(),
+                MAX_ENDPOINT_WATCH_MILLIS,
                 loop,
-                ports.random());
-        this.endpoints = new TableWatcher<>(
-                "endpoints", ports.endpoints(), new EndpointListener(), ENDPOINTS_WAIT_MILLIS, loop, ports.random());
-        this.follower = new StoreSynchronizer(ports.name(), new WatchedStore(), peers, loop::nowMillis);
-        this.isolation = new IsolationDetector(this::pingOtherDataCentres, loop.nowMillis());
+                dependencies.random());
+        this.synchronizer = new StoreSynchronizer(dependencies.name(), new LocalStoreView(), peers, loop::nowMillis);
+        this.isolationDetector = new IsolationDetector(this::pingOtherDataCentres, loop.nowMillis());
         metrics.gauge("sessions", () -> sessions::size);
         metrics.gauge("configuration_version", () -> () -> catalog.version());
-        metrics.gauge("fleet_vms", () -> () -> vms.size());
+        metrics.gauge("fleet_vms", () -> () -> vmNames.size());
     }
 
     /** Starts to follow the store. */
     public void start() {
-        catalogs.start();
-        endpoints.start();
-        fleet.start();
+        catalogWatcher.start();
+        endpointWatcher.start();
+        membership.start();
         loop.schedule(TICK_MILLIS, this::tick);
     }
 
@@ -157,7 +168,7 @@
 
     /** Whether new callers may be sent here; may be read on any thread. */
     public boolean isReady() {
-        return !draining && !isolated && endpointsRevision >= 0 && catalog.version() >= 0 && !vms.isEmpty();
+        return !draining && !isolated && endpointsRevision >= 0 && catalog.version() >= 0 && !vmNames.isEmpty();
     }
 
     /**
@@ -186,23 +197,23 @@
     private void tick() {
         loop.schedule(TICK_MILLIS, this::tick);
         if (directory.removeExpired()) {
-            apply();
+            reconfigure();
         }
         limiter.tick();
-        follower.tick();
+        synchronizer.tick();
         borrower.tick();
         lender.tick();
         groups.tick();
         sessions.tick();
-        promotions.tick();
-        leaveIfIsolated(loop.nowMillis());
+        failover.tick();
+        updateIsolation(loop.nowMillis());
     }
 
     /** Has callers go to another data centre while this one is cut off from the others. */
-    private void leaveIfIsolated(long now) {
-        isolation.tick(remotePrimariesLost(), now);
-        isolated = isolation.isIsolated();
-        if (isolation.isolatedMillis(now) > UNREADY_MILLIS) {
+    private void updateIsolation(long now) {
+        isolationDetector.tick(remotePrimariesLost(), now);
+        isolated = isolationDetector.isIsolated();
+        if (isolationDetector.isolatedMillis(now) > READINESS_PROPAGATION_MILLIS) {
             sessions.closeIdle(SESSIONS_CLOSED_PER_TICK);
         }
     }
@@ -218,26 +229,26 @@
     }
 
     private boolean isRemote(Endpoint endpoint) {
-        return !endpoint.dataCentre().equals(ports.self().dataCentre());
+        return !endpoint.dataCentre().equals(dependencies.self().dataCentre());
     }
 
     private void pingOtherDataCentres() {
         List<String> others = new ArrayList<>(dataCentres.keySet());
-        others.removeIf(vm -> dataCentres.get(vm).equals(ports.self().dataCentre()));
-        Collections.shuffle(others, shuffle);
-        others.stream().limit(PINGED_VMS).forEach(vm -> peers.send(vm, new LenderPing(false)));
+        others.removeIf(vm -> dataCentres.get(vm).equals(dependencies.self().dataCentre()));
+        Collections.shuffle(others, pingRandom);
+        others.stream().limit(ISOLATION_PING_COUNT).forEach(vm -> peers.send(vm, new LenderPing(false)));
     }
 
-    private void apply() {
-        if (vms.isEmpty()) {
+    private void reconfigure() {
+        if (vmNames.isEmpty()) {
             return;
         }
-        groups.update(catalog, directory.endpoints(), vms.size());
-        limiter.update(catalog, ports.name(), vms);
+        groups.update(catalog, directory.endpoints(), vmNames.size());
+        limiter.update(catalog, dependencies.name(), vmNames);
         sessions.configure(catalog);
     }
 
-    private void takeCatalog(Catalog next, String from) {
+    private void applyCatalog(Catalog next, String from) {
         if (next.version() > catalog.version()) {
             LOG.info(
                     "event=configuration_applied version={} previous={} from={}",
@@ -245,26 +256,26 @@
                     catalog.version(),
                     from);
             catalog = next;
-            apply();
+            reconfigure();
         }
     }
 
     private void received(String vm, PeerMessage message) {
-        if (!ports.self().dataCentre().equals(dataCentres.get(vm))) {
-            isolation.remoteMessageReceived(loop.nowMillis());
+        if (!dependencies.self().dataCentre().equals(dataCentres.get(vm))) {
+            isolationDetector.remoteMessageReceived(loop.nowMillis());
         }
-        if (message instanceof TokenRequest need) {
-            limiter.tokenRequestReceived(vm, need);
-        } else if (message instanceof TokenTransfer gift) {
-            limiter.tokenTransferReceived(gift);
+        if (message instanceof TokenRequest request) {
+            limiter.tokenRequestReceived(vm, request);
+        } else if (message instanceof TokenTransfer transfer) {
+            limiter.tokenTransferReceived(transfer);
         } else if (message instanceof ConnectionShortage shortage) {
             groups.find(shortage.group()).forEach(group -> group.releaseSurplusConnections(shortage.endpoint()));
         } else if (message instanceof PrimaryUnreachableReport
                 || message instanceof LeadershipPing
                 || message instanceof LeadershipPong) {
-            promotions.received(vm, message);
+            failover.received(vm, message);
         } else if (message instanceof StoreSyncRequest || message instanceof StoreSyncResponse) {
-            follower.received(vm, message);
+            synchronizer.received(vm, message);
         } else {
             borrower.received(vm, message);
             lender.received(vm, message);
@@ -274,20 +285,20 @@
     private void connected(PeerLinks links) {
         peers = links;
         limiter.connect(links);
-        promotions.connect(links);
-        follower.connect(links);
+        failover.connect(links);
+        synchronizer.connect(links);
         borrower.connect(links);
         lender.connect(links);
     }
 
     private void fleetChanged(Map<String, String> dataCentreOf) {
         dataCentres = dataCentreOf;
-        vms = dataCentres.keySet();
+        vmNames = dataCentres.keySet();
         borrower.update(dataCentres);
-        follower.update(dataCentres);
-        promotions.setCandidate(follower.isRelay());
-        promotions.setFleetSize(vms.size());
-        apply();
+        synchronizer.update(dataCentres);
+        failover.setCandidate(synchronizer.isRelay());
+        failover.setFleetSize(vmNames.size());
+        reconfigure();
     }
 
     private final class CatalogListener implements TableWatcher.Listener<Catalog> {
@@ -299,7 +310,7 @@
 
         @Override
         public void changed(Listing<Catalog> changes) {
-            changes.objects().forEach(stored -> stored.value().peek(next -> takeCatalog(next, "store")));
+            changes.objects().forEach(stored -> stored.value().peek(next -> applyCatalog(next, "store")));
         }
 
         @Override
@@ -316,7 +327,7 @@
             all.objects().forEach(stored -> stored.value().peek(value -> listed.put(stored.name(), value)));
             directory.replaceAll(listed);
             endpointsRevision = all.revision();
-            apply();
+            reconfigure();
         }
 
         @Override
@@ -326,7 +337,7 @@
                 LOG.info("event=endpoint_changed endpoint={} entry={}", stored.name(), stored.value());
             });
             endpointsRevision = Math.max(endpointsRevision, changes.revision());
-            apply();
+            reconfigure();
         }
 
         @Override
@@ -336,7 +347,7 @@
     }
 
     /** What the VM knows, from its own watches or from a relay. */
-    private final class WatchedStore implements StoreView {
+    private final class LocalStoreView implements StoreView {
 
         @Override
         public Catalog catalog() {
@@ -355,12 +366,12 @@
 
         @Override
         public boolean isCurrent() {
-            return catalogs.isCurrent() && endpoints.isCurrent();
+            return catalogWatcher.isCurrent() && endpointWatcher.isCurrent();
         }
 
         @Override
         public void applyCatalog(Catalog next) {
-            PoolVm.this.takeCatalog(next, "relay");
+            PoolVm.this.applyCatalog(next, "relay");
         }
 
         @Override
@@ -369,18 +380,18 @@
                 LOG.info("event=endpoints_listed endpoints={} revision={} from=relay", all.size(), revision);
                 endpointsRevision = revision;
                 directory.replaceAll(all.stream().collect(Collectors.toMap(Endpoint::id, Function.identity())));
-                apply();
+                reconfigure();
             }
         }
 
         @Override
-        public void setWatching(boolean itself) {
-            if (itself) {
-                catalogs.resume();
-                endpoints.resume();
+        public void setWatching(boolean watching) {
+            if (watching) {
+                catalogWatcher.resume();
+                endpointWatcher.resume();
             } else {
-                catalogs.pause();
-                endpoints.pause();
+                catalogWatcher.pause();
+                endpointWatcher.pause();
             }
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/SessionDrain.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/SessionDrain.java
@@ -8,29 +8,29 @@
 final class SessionDrain {
 
     /** Time in which the balancer notices that the VM is not ready, milliseconds: two probes of a second. */
-    private static final long UNREADY_MILLIS = 2_200;
+    private static final long READINESS_PROPAGATION_MILLIS = 2_200;
 
-    private static final long STEP_MILLIS = 50;
+    private static final long STEP_PERIOD_MILLIS = 50;
 
     /** Part of the grace period that an open transaction has to end. */
-    private static final double TRANSACTION_PART = 0.5;
+    private static final double TRANSACTION_GRACE_FRACTION = 0.5;
 
     /** Time kept for closing connections before the kill, milliseconds. */
-    private static final long RESERVE_MILLIS = 400;
+    private static final long SHUTDOWN_RESERVE_MILLIS = 400;
 
     /** Sessions closed per step, so that their callers do not reconnect all at once. */
-    private static final int CLOSED_PER_STEP = 4;
+    private static final int SESSIONS_CLOSED_PER_STEP = 4;
 
     private final DecisionLoop loop;
-    private final IntSupplier unfinished;
+    private final IntSupplier remaining;
     private final Sessions sessions;
     private final long graceMillis;
     private final Runnable done;
     private final long startMillis;
 
-    SessionDrain(DecisionLoop loop, IntSupplier unfinished, Sessions sessions, long graceMillis, Runnable done) {
+    SessionDrain(DecisionLoop loop, IntSupplier remaining, Sessions sessions, long graceMillis, Runnable done) {
         this.loop = loop;
-        this.unfinished = unfinished;
+        this.remaining = remaining;
         this.sessions = sessions;
         this.graceMillis = graceMillis;
         this.done = done;
@@ -38,21 +38,21 @@
     }
 
     void start() {
-        loop.schedule(UNREADY_MILLIS, this::step);
+        loop.schedule(READINESS_PROPAGATION_MILLIS, this::step);
     }
 
     private void step() {
         long elapsed = loop.nowMillis() - startMillis;
-        boolean halfway = elapsed > graceMillis * TRANSACTION_PART;
-        if (halfway) {
+        boolean transactionGraceOver = elapsed > graceMillis * TRANSACTION_GRACE_FRACTION;
+        if (transactionGraceOver) {
             sessions.abortIdleTransactions("the VM is stopping");
         }
-        sessions.closeIdle(halfway ? Integer.MAX_VALUE : CLOSED_PER_STEP);
-        boolean empty = halfway && unfinished.getAsInt() == 0;
-        if (empty || elapsed > graceMillis - RESERVE_MILLIS) {
+        sessions.closeIdle(transactionGraceOver ? Integer.MAX_VALUE : SESSIONS_CLOSED_PER_STEP);
+        boolean empty = transactionGraceOver && remaining.getAsInt() == 0;
+        if (empty || elapsed > graceMillis - SHUTDOWN_RESERVE_MILLIS) {
             done.run();
         } else {
-            loop.schedule(STEP_MILLIS, this::step);
+            loop.schedule(STEP_PERIOD_MILLIS, this::step);
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
@@ -24,16 +24,16 @@
 final class StoreSynchronizer {
 
     /** Largest fleet in which all VMs watch the store. */
-    private static final int SMALL_FLEET = 8;
+    private static final int MAX_VMS_WITHOUT_RELAYS = 8;
 
     /** Relays of a data centre: one may fail unnoticed. */
-    private static final int RELAYS = 2;
+    private static final int RELAYS_PER_DATA_CENTRE = 2;
 
     /** Period in which a relay is asked, milliseconds: a part of the seconds in which a change must be in force. */
-    private static final long ASK_PERIOD_MILLIS = 400;
+    private static final long SYNC_PERIOD_MILLIS = 400;
 
     /** Time without an answer of a relay that is in touch with the store, after which a VM watches it, milliseconds. */
-    private static final long UNSERVED_MILLIS = 1_000;
+    private static final long RELAY_TIMEOUT_MILLIS = 1_000;
 
     private static final Logger LOG = LogManager.getLogger(StoreSynchronizer.class);
 
@@ -44,17 +44,17 @@
     private List<String> relays = List.of();
     private boolean relay = true;
     private boolean watching = true;
-    private long askedMillis;
-    private long servedMillis;
-    private int turn;
+    private long lastRequestMillis;
+    private long lastServedMillis;
+    private int relayIndex;
 
     StoreSynchronizer(String self, StoreView view, PeerLinks peers, LongSupplier clock) {
         this.self = self;
         this.view = view;
         this.peers = peers;
         this.clock = clock;
-        this.askedMillis = clock.getAsLong();
-        this.servedMillis = askedMillis - UNSERVED_MILLIS;
+        this.lastRequestMillis = clock.getAsLong();
+        this.lastServedMillis = lastRequestMillis - RELAY_TIMEOUT_MILLIS;
     }
 
     void connect(PeerLinks links) {
@@ -64,14 +64,14 @@
     /** Takes the data centre of each VM by its name. */
     void update(Map<String, String> dataCentres) {
         String own = dataCentres.get(self);
-        List<String> first = dataCentres.entrySet().stream()
+        List<String> elected = dataCentres.entrySet().stream()
                 .filter(vm -> vm.getValue().equals(own))
                 .map(Map.Entry::getKey)
                 .sorted(RendezvousUtils.byScore("relay", vm -> vm))
-                .limit(RELAYS)
+                .limit(RELAYS_PER_DATA_CENTRE)
                 .toList();
-        relay = dataCentres.size() <= SMALL_FLEET || first.contains(self);
-        relays = relay ? List.of() : first;
+        relay = dataCentres.size() <= MAX_VMS_WITHOUT_RELAYS || elected.contains(self);
+        relays = relay ? List.of() : elected;
     }
 
     /** Whether this VM watches the store for others, or all VMs do. */
@@ -82,28 +82,33 @@
     /** Asks a relay when it is time; called every few milliseconds. */
     void tick() {
         long now = clock.getAsLong();
-        if (!relays.isEmpty() && now - askedMillis >= ASK_PERIOD_MILLIS) {
-            askedMillis = now;
-            turn = (turn + 1) % relays.size();
-            peers.send(relays.get(turn), new StoreSyncRequest(view.catalog().version(), digest(view.endpoints())));
+        if (!relays.isEmpty() && now - lastRequestMillis >= SYNC_PERIOD_MILLIS) {
+            lastRequestMillis = now;
+            relayIndex = (relayIndex + 1) % relays.size();
+            peers.send(
+                    relays.get(relayIndex), new StoreSyncRequest(view.catalog().version(), digest(view.endpoints())));
         }
-        boolean needed = relay || now - servedMillis >= UNSERVED_MILLIS;
-        if (needed != watching) {
-            watching = needed;
-            LOG.info("event=store_followed itself={} relay={} unserved_ms={}", needed, relay, now - servedMillis);
-            view.setWatching(needed);
+        boolean shouldWatch = relay || now - lastServedMillis >= RELAY_TIMEOUT_MILLIS;
+        if (shouldWatch != watching) {
+            watching = shouldWatch;
+            LOG.info(
+                    "event=store_followed itself={} relay={} unserved_ms={}",
+                    shouldWatch,
+                    relay,
+                    now - lastServedMillis);
+            view.setWatching(shouldWatch);
         }
     }
 
     void received(String vm, PeerMessage message) {
         if (message instanceof StoreSyncRequest request) {
-            answer(vm, request);
-        } else if (message instanceof StoreSyncResponse answer) {
-            take(answer);
+            sendResponse(vm, request);
+        } else if (message instanceof StoreSyncResponse response) {
+            applyResponse(response);
         }
     }
 
-    private void answer(String vm, StoreSyncRequest request) {
+    private void sendResponse(String vm, StoreSyncRequest request) {
         Catalog catalog = view.catalog();
         Collection<Endpoint> endpoints = view.endpoints();
         boolean listed = view.endpointsRevision() >= 0;
@@ -116,11 +121,11 @@
                         Option.when(listed && digest(endpoints) != request.endpointsDigest(), List.copyOf(endpoints))));
     }
 
-    private void take(StoreSyncResponse answer) {
-        answer.catalog().forEach(view::applyCatalog);
-        answer.endpoints().forEach(all -> view.applyEndpoints(answer.endpointsRevision(), all));
-        if (answer.current()) {
-            servedMillis = clock.getAsLong();
+    private void applyResponse(StoreSyncResponse response) {
+        response.catalog().forEach(view::applyCatalog);
+        response.endpoints().forEach(all -> view.applyEndpoints(response.endpointsRevision(), all));
+        if (response.current()) {
+            lastServedMillis = clock.getAsLong();
         }
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreView.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreView.java
@@ -26,5 +26,5 @@
     void applyEndpoints(long revision, Collection<Endpoint> all);
 
     /** Begins or ceases to watch the store itself. */
-    void setWatching(boolean itself);
+    void setWatching(boolean watching);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
@@ -24,9 +24,9 @@
  * @param endpoints the listed endpoints
  * @param vms the VMs of the fleet
  * @param secrets the secret that the VMs of the fleet share
- * @param duties who may order promotions
- * @param authority orders promotions
- * @param decoder reads answers to status queries
+ * @param leadershipRecords who may order promotions
+ * @param promotionAuthority orders promotions
+ * @param statusDecoder reads answers to status queries
  */
 public record VmDependencies(
         String name,
@@ -39,6 +39,6 @@
         ObjectTable<Endpoint> endpoints,
         ObjectTable<VmEntry> vms,
         ObjectTable<FleetSecret> secrets,
-        ObjectTable<LeadershipRecord> duties,
-        PromotionAuthority authority,
-        StatusDecoder decoder) {}
+        ObjectTable<LeadershipRecord> leadershipRecords,
+        PromotionAuthority promotionAuthority,
+        StatusDecoder statusDecoder) {}
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PrimaryFailoverTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PrimaryFailoverTests.java
@@ -29,7 +29,7 @@
     private final List<PromotionAuthority.Order> orders = new ArrayList<>();
     private final FakeCaller caller = pool.connectCaller(TestPool.LATEST);
     private PromotionAuthority.Answer answer = PromotionAuthority.Answer.ACCEPTED;
-    private PrimaryFailover system;
+    private PrimaryFailover failover;
 
     @Test
     void promotesTheMostAdvancedReplicaOfACrashedPrimary() {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void leavesAPrimaryThatOnlyThisVmCannotReach() {
+    void keepsAPrimaryThatOnlyThisVmCannotReach() {
         start();
         pool.endpoint("e1").crash();
         pool.advance(3_000);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void leavesAPrimaryThatOnlyTheVmsOfOneDataCentreCannotReach() {
+    void keepsAPrimaryThatOnlyTheVmsOfOneDataCentreCannotReach() {
         start();
         pool.endpoint("e1").crash();
         for (int i = 0; i < 20; i++) {
@@ -134,8 +134,8 @@
     }
 
     private void start() {
-        PeerLinks links = network.join("vm-1", (from, message) -> system.received(from, message));
-        system = new PrimaryFailover(
+        PeerLinks links = network.join("vm-1", (from, message) -> failover.received(from, message));
+        failover = new PrimaryFailover(
                 "vm-1",
                 pool.groups(),
                 (order, done) -> {
@@ -146,7 +146,7 @@
                 pool.loop(),
                 new Random(1),
                 links);
-        system.setFleetSize(VMS);
+        failover.setFleetSize(VMS);
         tick();
         caller.read("warm");
         pool.advance(1_500);
@@ -154,13 +154,13 @@
     }
 
     private void tick() {
-        system.tick();
+        failover.tick();
         pool.loop().schedule(TICK_MILLIS, this::tick);
     }
 
     private void reportFromOthers(int vms) {
         for (int i = 0; i < vms; i++) {
-            system.received("vm-" + (i + 2), new PrimaryUnreachableReport("group", "e1"));
+            failover.received("vm-" + (i + 2), new PrimaryUnreachableReport("group", "e1"));
         }
     }
 
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PromotionLeaderElectionTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PromotionLeaderElectionTests.java
@@ -25,63 +25,63 @@
     private final ManualLoop loop = new ManualLoop();
     private final FakeObjectTable<LeadershipRecord> table = new FakeObjectTable<>(loop);
     private final FakePeerNetwork network = new FakePeerNetwork(loop);
-    private final Map<String, PromotionLeaderElection> keepers = new LinkedHashMap<>();
+    private final Map<String, PromotionLeaderElection> elections = new LinkedHashMap<>();
     private final List<Long> tokens = new ArrayList<>();
 
     @Test
-    void letsOneVmTakeTheDuty() {
+    void electsOneLeader() {
         start();
         loop.advance(2_000);
-        assertEquals(1, holders().size());
+        assertEquals(1, leaders().size());
     }
 
     @Test
-    void keepsTheHolderWhileItAnswers() {
+    void keepsTheLeaderWhileItResponds() {
         start();
         loop.advance(2_000);
-        List<String> first = holders();
+        List<String> first = leaders();
         loop.advance(30_000);
-        assertEquals(first, holders());
+        assertEquals(first, leaders());
     }
 
     @Test
-    void replacesAHolderThatIsCutOffAndRefusesItsLaterPromotions() {
+    void replacesAnUnreachableLeaderAndRefusesItsLaterPromotions() {
         start();
         loop.advance(2_000);
-        String first = holders().get(0);
+        String first = leaders().get(0);
         network.setPartitioned(first, true);
         loop.advance(4_000);
         String second =
-                holders().stream().filter(vm -> !vm.equals(first)).findFirst().orElseThrow();
+                leaders().stream().filter(vm -> !vm.equals(first)).findFirst().orElseThrow();
         promote(second);
         promote(first);
         loop.advance(100);
         assertEquals(1, tokens.size());
-        assertFalse(keepers.get(first).isLeader());
+        assertFalse(elections.get(first).isLeader());
     }
 
     @Test
-    void countsPromotionsWithRisingTokensWhileTheStoreIsAway() {
+    void recordsPromotionsWithRisingTokensWhileTheStoreIsUnavailable() {
         start();
         loop.advance(2_000);
-        String holder = holders().get(0);
+        String leader = leaders().get(0);
         table.setUnavailable(true);
-        promote(holder);
+        promote(leader);
         loop.advance(100);
-        promote(holder);
+        promote(leader);
         loop.advance(100);
         table.setUnavailable(false);
-        promote(holder);
+        promote(leader);
         loop.advance(100);
         assertEquals(3, tokens.size());
         assertTrue(tokens.get(0) < tokens.get(1) && tokens.get(1) < tokens.get(2), tokens.toString());
     }
 
     @Test
-    void neverGivesOutATokenTwiceWhenVmsAreCutOffAndAnswersAreLost() {
+    void neverIssuesATokenTwiceUnderPartitionsAndLostResponses() {
         for (int seed = 1; seed <= 20; seed++) {
             Random random = new Random(seed);
-            keepers.clear();
+            elections.clear();
             tokens.clear();
             start();
             for (int step = 0; step < 60; step++) {
@@ -100,30 +100,30 @@
     private void start() {
         VMS.forEach(vm -> {
             PeerLinks links = network.join(vm, (from, message) -> {
-                PromotionLeaderElection keeper = keepers.get(vm);
+                PromotionLeaderElection election = elections.get(vm);
                 if (message instanceof LeadershipPing ping) {
-                    keeper.pingReceived(from, ping);
+                    election.pingReceived(from, ping);
                 } else if (message instanceof LeadershipPong pong) {
-                    keeper.pongReceived(from, pong);
+                    election.pongReceived(from, pong);
                 }
             });
-            keepers.put(vm, new PromotionLeaderElection(vm, table, loop, new Random(vm.hashCode()), links));
+            elections.put(vm, new PromotionLeaderElection(vm, table, loop, new Random(vm.hashCode()), links));
         });
-        tick(Map.copyOf(keepers));
+        tick(Map.copyOf(elections));
     }
 
     private void tick(Map<String, PromotionLeaderElection> ticked) {
-        if (ticked.values().containsAll(keepers.values())) {
-            ticked.values().forEach(keeper -> keeper.tick(false));
+        if (ticked.values().containsAll(elections.values())) {
+            ticked.values().forEach(election -> election.tick(false));
             loop.schedule(TICK_MILLIS, () -> tick(ticked));
         }
     }
 
-    private List<String> holders() {
-        return VMS.stream().filter(vm -> keepers.get(vm).isLeader()).toList();
+    private List<String> leaders() {
+        return VMS.stream().filter(vm -> elections.get(vm).isLeader()).toList();
     }
 
     private void promote(String vm) {
-        keepers.get(vm).recordPromotion(record -> record.forEach(counted -> tokens.add(counted.fencingToken())));
+        elections.get(vm).recordPromotion(record -> record.forEach(counted -> tokens.add(counted.fencingToken())));
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/lease/LentConnectionTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/lease/LentConnectionTests.java
@@ -27,15 +27,15 @@
     private final TestPoolFleet fleet = new TestPoolFleet(VMS, CONNECTIONS, ACCOUNTS, true);
 
     @Test
-    void usesAConnectionAgainForTheNextOperationOfItsAccountWhicheverVmItComesFrom() {
+    void reusesAConnectionForTheNextOperationOfItsAccountFromAnyVm() {
         int lending = connectionsOpenedBySpreadWrites(fleet);
-        int eachForItself = connectionsOpenedBySpreadWrites(new TestPoolFleet(VMS, CONNECTIONS, ACCOUNTS, false));
+        int withoutLending = connectionsOpenedBySpreadWrites(new TestPoolFleet(VMS, CONNECTIONS, ACCOUNTS, false));
         assertTrue(lending <= 3 * ACCOUNTS, lending + " opened by lenders");
-        assertTrue(eachForItself >= 5 * lending, eachForItself + " opened by VMs for themselves");
+        assertTrue(withoutLending >= 5 * lending, withoutLending + " opened by VMs for themselves");
     }
 
     @Test
-    void servesReadsAtReplicasWithAPositionThatTheLenderAskedFor() {
+    void servesReadsAtReplicasWithAPositionFromTheLender() {
         List<FakeCaller> callers = new ArrayList<>();
         for (int round = 0; round < 5; round++) {
             for (int vm = 0; vm < VMS; vm++) {
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void rollsBackWhenACallerLeavesInsideATransaction() {
+    void rollsBackWhenACallerDisconnectsInsideATransaction() {
         int lender = fleet.lenderIndex("e1");
         FakeCaller caller = fleet.connectCaller(other(lender), TestPool.LATEST, 1);
         caller.send("b", new CallerStatement.Begin(false));
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void endsALeaseWhoseCommandWasLostInsteadOfRunningTheNextOneOutsideItsTransaction() {
+    void endsALeaseAfterALostCommandInsteadOfRunningTheNextOneOutsideItsTransaction() {
         int vm = other(fleet.lenderIndex("e1"));
         FakeCaller caller = fleet.connectCaller(vm, TestPool.LATEST, 1);
         caller.send("b", new CallerStatement.Begin(false));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void tellsThatAWriteIsInDoubtWhenItsAnswerWasLost() {
+    void reportsAWriteAsInDoubtWhenItsReplyIsLost() {
         int vm = other(fleet.lenderIndex("e1"));
         FakeCaller warm = fleet.connectCaller(vm, TestPool.LATEST, 1);
         warm.write("w0");
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void asksTheNextCandidateWhenTheLenderIsCutOff() {
+    void asksTheNextCandidateWhenTheLenderIsUnreachable() {
         int lender = fleet.lenderIndex("e1");
         fleet.network().setPartitioned("vm-" + lender, true);
         FakeCaller caller = fleet.connectCaller(other(lender), TestPool.LATEST, 1);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void leavesItsConnectionsToTheNextLenderWhenItStops() {
+    void freesItsConnectionsForTheNextLenderWhenItStops() {
         for (int account = 0; account < CONNECTIONS; account++) {
             fleet.connectCaller(account, TestPool.LATEST, account).write("w" + account);
         }
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void keepsSessionValuesOfDifferentCallersApart() {
+    void isolatesSessionValuesOfDifferentCallers() {
         int vm = other(fleet.lenderIndex("e1"));
         FakeCaller first = fleet.connectCaller(vm, TestPool.LATEST, 1);
         first.send("s", new CallerStatement.SetValue("name", "one"));
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/IsolationDetectorTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/IsolationDetectorTests.java
@@ -15,27 +15,27 @@
     private final IsolationDetector detector = new IsolationDetector(() -> pings++, now);
 
     @Test
-    void findsTheCutOffOfItsDataCentreWithinASecond() {
+    void detectsIsolationWithinASecond() {
         run(1_000, true, false);
         assertTrue(detector.isIsolated());
         assertTrue(pings >= 3, pings + " pings");
     }
 
     @Test
-    void takesNoLossOfPrimariesForACutOffWhileOtherDataCentresAnswer() {
+    void reportsNoIsolationWhileOtherDataCentresRespond() {
         run(5_000, true, true);
         assertFalse(detector.isIsolated());
     }
 
     @Test
-    void takesNoSilenceForACutOffWhilePrimariesAnswer() {
+    void reportsNoIsolationWhilePrimariesAreReachable() {
         run(5_000, false, false);
         assertFalse(detector.isIsolated());
         assertEquals(0, pings);
     }
 
     @Test
-    void endsAsSoonAsAnotherDataCentreAnswers() {
+    void endsIsolationAsSoonAsAnotherDataCentreResponds() {
         run(2_000, true, false);
         assertTrue(detector.isolatedMillis(now) > 1_000);
         detector.remoteMessageReceived(now);
@@ -45,17 +45,17 @@
     }
 
     @Test
-    void doesNotCountSilenceFromBeforeTheLossOfThePrimaries() {
+    void ignoresSilenceFromBeforeTheLossOfThePrimaries() {
         run(5_000, false, false);
         run(400, true, false);
         assertFalse(detector.isIsolated());
     }
 
-    private void run(long millis, boolean primariesLost, boolean othersAnswer) {
+    private void run(long millis, boolean primariesLost, boolean othersRespond) {
         for (long until = now + millis; now < until; now += TICK_MILLIS) {
             int before = pings;
             detector.tick(primariesLost, now);
-            if (othersAnswer && pings > before) {
+            if (othersRespond && pings > before) {
                 detector.remoteMessageReceived(now);
             }
         }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/StoreSynchronizerTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/StoreSynchronizerTests.java
@@ -23,7 +23,7 @@
     private final ManualLoop loop = new ManualLoop();
     private final FakePeerNetwork network = new FakePeerNetwork(loop);
     private final Map<String, View> views = new HashMap<>();
-    private final Map<String, StoreSynchronizer> followers = new HashMap<>();
+    private final Map<String, StoreSynchronizer> synchronizers = new HashMap<>();
 
     @Test
     void letsTwoVmsOfEachDataCentreWatchTheStoreOfALargeFleet() {
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void passesChangesOnWithinASecond() {
+    void propagatesChangesWithinASecond() {
         start(40);
         loop.advance(2_000);
         watching().forEach(view -> {
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void keepsNoEndpointThatARelayHasRemoved() {
+    void removesEndpointsThatTheRelayHasRemoved() {
         start(40);
         List<Endpoint> both = List.of(endpoint("e1", 5), endpoint("e2", 9));
         views.values().forEach(view -> {
@@ -73,34 +73,34 @@
     }
 
     @Test
-    void takesNoListThatIsOlderThanItsOwn() {
+    void ignoresAListThatIsOlderThanItsOwn() {
         start(40);
         loop.advance(2_000);
-        View follower = views.values().stream()
+        View nonRelay = views.values().stream()
                 .filter(view -> !view.watches)
                 .findFirst()
                 .get();
-        follower.endpoints = List.of(endpoint("e1", 5));
-        follower.revision = 50;
+        nonRelay.endpoints = List.of(endpoint("e1", 5));
+        nonRelay.revision = 50;
         loop.advance(2_000);
-        assertEquals(1, follower.endpoints.size());
+        assertEquals(1, nonRelay.endpoints.size());
     }
 
     @Test
-    void watchesTheStoreItselfWhileItsRelaysAreOutOfTouchWithIt() {
+    void watchesTheStoreDirectlyWhileItsRelaysCannotReachIt() {
         start(40);
         loop.advance(2_000);
         List<View> relays = watching();
-        relays.forEach(view -> view.inTouch = false);
+        relays.forEach(view -> view.current = false);
         loop.advance(1_500);
         assertEquals(40, watching().size());
-        relays.forEach(view -> view.inTouch = true);
+        relays.forEach(view -> view.current = true);
         loop.advance(1_500);
         assertEquals(4, watching().size());
     }
 
     @Test
-    void isServedByTheOtherRelayWhenOneIsCutOff() {
+    void usesTheOtherRelayWhenOneIsUnreachable() {
         start(40);
         loop.advance(2_000);
         View cutOff = watching().get(0);
@@ -118,19 +118,20 @@
         dataCentres.keySet().forEach(name -> {
             View view = new View(name);
             views.put(name, view);
-            StoreSynchronizer follower = new StoreSynchronizer(
+            StoreSynchronizer synchronizer = new StoreSynchronizer(
                     name,
                     view,
-                    network.join(name, (from, message) -> followers.get(name).received(from, message)),
+                    network.join(
+                            name, (from, message) -> synchronizers.get(name).received(from, message)),
                     loop::nowMillis);
-            followers.put(name, follower);
-            follower.update(dataCentres);
+            synchronizers.put(name, synchronizer);
+            synchronizer.update(dataCentres);
         });
         tick();
     }
 
     private void tick() {
-        followers.values().forEach(StoreSynchronizer::tick);
+        synchronizers.values().forEach(StoreSynchronizer::tick);
         loop.schedule(TICK_MILLIS, this::tick);
     }
 
@@ -153,7 +154,7 @@
         private Collection<Endpoint> endpoints = new ArrayList<>();
         private long revision = 1;
         private boolean watches = true;
-        private boolean inTouch = true;
+        private boolean current = true;
 
         View(String name) {
             this.name = name;
@@ -176,7 +177,7 @@
 
         @Override
         public boolean isCurrent() {
-            return inTouch;
+            return current;
         }
 
         @Override
@@ -195,8 +196,8 @@
         }
 
         @Override
-        public void setWatching(boolean itself) {
-            watches = itself;
+        public void setWatching(boolean watching) {
+            watches = watching;
         }
     }
 }
