--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/LeadershipRecord.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/LeadershipRecord.java
@@ -1,23 +1,27 @@
 package org.hyssopswitch.pool.failover;
 
 /**
- * Who may order promotions, as recorded in the store.
+ * The promotion leader, as recorded in the store.
  *
- * @param holder name of the VM
- * @param epoch grows by one with each change of the holder or of its process
- * @param promotions number of promotions ordered in the epoch; makes each order visible to a VM that is about to take over
+ * @param holder name of the leader
+ * @param epoch incremented with each change of the leader or of its process
+ * @param promotions number of promotions ordered in the epoch; each one changes the record, so that a concurrent
+ *     takeover fails
  */
 public record LeadershipRecord(String holder, long epoch, long promotions) {
 
-    /** Fencing tokens of one epoch, so that a holder can order promotions while the store is away. */
+    /**
+     * Number of fencing tokens in one epoch. With tokens of its own, a leader can order promotions while the store is
+     * unavailable.
+     */
     static final long TOKENS_PER_EPOCH = 100_000;
 
-    /** The fencing token of the latest promotion. */
+    /** Returns the fencing token of the latest promotion. */
     long fencingToken() {
         return epoch * TOKENS_PER_EPOCH + promotions;
     }
 
-    /** The record after a number of promotions. */
+    /** Returns a copy with the given number of promotions. */
     LeadershipRecord withPromotions(long count) {
         return new LeadershipRecord(holder, epoch, count);
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PrimaryFailover.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PrimaryFailover.java
@@ -15,21 +15,25 @@
 import org.hyssopswitch.pool.store.ObjectTable;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** Finds groups that need another primary and, on the VM that holds the duty, has one promoted. */
+/** Detects groups that need another primary and, on the promotion leader, has a replica promoted. */
 public final class PrimaryFailover {
 
-    /** Time for which a primary must be unusable before it is replaced, milliseconds: restarts of links are shorter. */
+    /**
+     * Time for which a primary must be unreachable before it is replaced, milliseconds: restarts of links are shorter.
+     */
     private static final long CONFIRMATION_MILLIS = 100;
 
-    /** Period of reports to the holder of the duty, milliseconds. */
+    /** Period of reports to the promotion leader, milliseconds. */
     private static final long REPORT_PERIOD_MILLIS = 250;
 
-    /** Time after the confirmation in which every tick reports, milliseconds, so that a lost report does no harm. */
+    /**
+     * Time after the confirmation in which every tick sends a report, milliseconds, so that a lost report does no harm.
+     */
     private static final long INITIAL_REPORTING_MILLIS = 50;
 
     /**
-     * Part of the VMs that must be cut off from a primary before it is replaced: more than those of one data centre of
-     * three, which may be the ones that are cut off from all others.
+     * Fraction of the VMs that must be unable to reach a primary before it is replaced: more than the VMs of one data
+     * centre of three, which may be the ones that are cut off from all others.
      */
     private static final double CUT_OFF_FRACTION = 0.34;
 
@@ -46,15 +50,15 @@
     private long lastReportMillis;
 
     /**
-     * Creates the system.
+     * Creates the failover of one VM.
      *
      * @param self name of this VM
      * @param groups the database groups
      * @param authority orders promotions
-     * @param table the record of the duty
+     * @param table holds the leadership record
      * @param loop the decision thread
      * @param random source of jitter
-     * @param peers the other VMs
+     * @param peers links to the other VMs
      */
     public PrimaryFailover(
             String self,
@@ -74,9 +78,9 @@
     }
 
     /**
-     * Sends over whom messages are exchanged from now on.
+     * Sets the links over which messages are sent from now on.
      *
-     * @param links the other VMs
+     * @param links links to the other VMs
      */
     public void connect(PeerLinks links) {
         peers = links;
@@ -84,7 +88,7 @@
     }
 
     /**
-     * Takes the size of the fleet.
+     * Sets the size of the fleet.
      *
      * @param count number of VMs, this one included
      */
@@ -93,7 +97,7 @@
     }
 
     /**
-     * Says whether this VM may take the duty when its holder is silent.
+     * Sets whether this VM may take the leadership when the leader is unresponsive.
      *
      * @param eligible whether it may
      */
@@ -101,7 +105,7 @@
         election.setCandidate(eligible);
     }
 
-    /** Looks for groups that need a promotion; called every few milliseconds. */
+    /** Checks whether groups need a promotion; called every few milliseconds. */
     public void tick() {
         long now = loop.nowMillis();
         boolean reportDue = now - lastReportMillis >= REPORT_PERIOD_MILLIS;
@@ -128,7 +132,7 @@
     }
 
     /**
-     * Takes a message of another VM.
+     * Handles a message from another VM.
      *
      * @param vm name of the sender
      * @param message the message
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionAuthority.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionAuthority.java
@@ -2,35 +2,35 @@
 
 import java.util.function.Consumer;
 
-/** The platform's call that makes an endpoint the primary of its group. */
+/** The platform's call that promotes an endpoint to the primary of its group. */
 @FunctionalInterface
 public interface PromotionAuthority {
 
     /**
      * Orders a promotion.
      *
-     * @param order what is ordered
-     * @param done told the answer, on the decision thread, once
+     * @param order the promotion to order
+     * @param done receives the answer once, on the decision thread
      */
     void promote(Order order, Consumer<Answer> done);
 
     /**
-     * An order.
+     * An order to promote an endpoint.
      *
-     * @param group the group
+     * @param group group of the endpoint
      * @param endpoint the endpoint to promote
-     * @param holder the VM that holds the duty
-     * @param token its fencing token
+     * @param holder the promotion leader that gives the order
+     * @param token fencing token of the leader
      */
     record Order(String group, String endpoint, String holder, long token) {}
 
-    /** How the platform answered. */
+    /** Answer of the platform to an order. */
     enum Answer {
-        /** The endpoint leads shortly. */
+        /** The endpoint becomes the primary shortly. */
         ACCEPTED,
-        /** The token is too low or the endpoint is not running. */
+        /** The token is too low, or the endpoint is not running. */
         REJECTED,
-        /** No answer or no capacity; the order may still be carried out. */
+        /** No answer arrived, or the platform has no capacity; the order may still be carried out. */
         UNKNOWN
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionLeaderElection.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/PromotionLeaderElection.java
@@ -15,34 +15,37 @@
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /**
- * Knows and takes the promotion duty.
+ * Elects the promotion leader, the VM that may order promotions.
  *
- * <p>The holder stays for as long as it answers the other VMs. It is replaced by a conditional update of the record;
- * because each promotion also updates the record, a takeover fails while the holder is at work.
+ * <p>A leader keeps the leadership for as long as it answers the other VMs. It is replaced by a conditional update of
+ * the leadership record in the store. Each promotion also updates the record, so a takeover fails when the leader has
+ * just ordered a promotion.
  */
 final class PromotionLeaderElection {
 
     private static final String RECORD_NAME = "promotion";
 
-    /** Period in which the holder is asked for a sign of life, milliseconds. */
+    /** Period in which candidates ping the leader, milliseconds. */
     private static final long PING_PERIOD_MILLIS = 500;
 
-    /** The same for VMs that do not take the duty, milliseconds. */
+    /** Period in which VMs that are not candidates ping the leader, milliseconds. */
     private static final long NON_CANDIDATE_PING_PERIOD_MILLIS = 1_500;
 
-    /** Silence of the holder after which VMs that do not take the duty read again who holds it, milliseconds. */
+    /**
+     * Time without contact after which a VM that is not a candidate reads the leadership record again, milliseconds.
+     */
     private static final long NON_CANDIDATE_TIMEOUT_MILLIS = 4_000;
 
-    /** Silence of the holder after which its duty is taken, milliseconds. */
+    /** Time without contact after which a candidate takes over the leadership, milliseconds. */
     private static final long LEADER_TIMEOUT_MILLIS = 2_500;
 
-    /** Silence of the holder after which its duty is taken while a group needs a promotion, milliseconds. */
+    /** Time without contact after which a candidate takes over while a group needs a promotion, milliseconds. */
     private static final long URGENT_LEADER_TIMEOUT_MILLIS = 1_100;
 
-    /** Greatest random delay of a takeover, milliseconds: the others then see the new record first. */
+    /** Maximum random delay of a takeover, milliseconds, so that the other candidates see the new record first. */
     private static final int MAX_TAKEOVER_JITTER_MILLIS = 400;
 
-    /** Pause after a failed call to the store, milliseconds. */
+    /** Delay after a failed call to the store, milliseconds. */
     private static final long STORE_RETRY_DELAY_MILLIS = 500;
 
     private static final Logger LOG = LogManager.getLogger(PromotionLeaderElection.class);
@@ -81,22 +84,24 @@
         peers = links;
     }
 
-    /** Whether this VM may take the duty; in a large fleet few do, so that they do not race. */
+    /**
+     * Sets whether this VM may take the leadership. In a large fleet few VMs are candidates, so that they do not race.
+     */
     void setCandidate(boolean eligible) {
         candidate = eligible;
     }
 
-    /** Whether this VM's process holds the duty as far as it knows. */
+    /** Returns whether this process holds the leadership, as far as it knows. */
     boolean isLeader() {
         return leadershipConfirmed && leader().contains(self);
     }
 
-    /** The holder as far as this VM knows. */
+    /** Returns the leader, as far as this VM knows. */
     Option<String> leader() {
         return record.flatMap(VersionedObject::value).map(LeadershipRecord::holder);
     }
 
-    /** Keeps in touch with the holder and takes its place when it is silent. */
+    /** Pings the leader and replaces it when it is unresponsive. */
     void tick(boolean urgent) {
         long now = loop.nowMillis();
         if (operationPending || now < nextAttemptMillis) {
@@ -111,7 +116,10 @@
         }
     }
 
-    /** Counts a promotion and returns its record; nothing when this VM no longer holds the duty. */
+    /**
+     * Adds a promotion to the leadership record and passes on the updated record, or nothing when this VM is no longer
+     * the leader.
+     */
     void recordPromotion(Consumer<Option<LeadershipRecord>> done) {
         if (!isLeader()) {
             done.accept(Option.none());
@@ -122,7 +130,7 @@
         LeadershipRecord next = current.value().get().withPromotions(promotionCount);
         table.write(RECORD_NAME, Option.some(current.revision()), next, result -> {
             if (!isLeader() || epoch() != next.epoch()) {
-                // The duty was lost, or taken again under a new epoch, while the call was on its way.
+                // The leadership was lost, or taken again under a new epoch, while the write was in flight.
                 done.accept(Option.none());
             } else if (result.isRight()) {
                 record = Option.some(result.get());
@@ -132,7 +140,7 @@
                 discardRecord();
                 done.accept(Option.none());
             } else {
-                // The tokens of the epoch are this process's own, and the platform refuses them once others used more.
+                // Only this process issues tokens of this epoch; the platform rejects them once a higher one is used.
                 LOG.warn("event=promotion_uncounted token={} cause=\"{}\"", next.fencingToken(), describe(result));
                 record = Option.some(new VersionedObject<>(RECORD_NAME, current.revision(), Option.some(next)));
                 done.accept(Option.some(next));
@@ -140,7 +148,7 @@
         });
     }
 
-    /** The platform has seen a higher token than this VM's. */
+    /** The platform rejected a token of this VM, possibly because it has seen a higher one. */
     void tokenRejected() {
         LOG.warn("event=duty_lost holder={} cause=token_refused", leader().getOrElse("none"));
         discardRecord();
@@ -163,7 +171,7 @@
         }
     }
 
-    /** The latest epoch that this VM knows; -1 while it knows none. */
+    /** Returns the latest epoch that this VM knows, or -1 when it knows none. */
     private long epoch() {
         return record.flatMap(VersionedObject::value)
                 .map(LeadershipRecord::epoch)
@@ -241,7 +249,7 @@
         });
     }
 
-    /** Reads the record again at the next tick. */
+    /** Discards the record, so that the next tick reads it again. */
     private void discardRecord() {
         record = Option.none();
         leadershipConfirmed = false;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/ReplicaPromotion.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/ReplicaPromotion.java
@@ -14,22 +14,22 @@
 import org.hyssopswitch.pool.endpoint.ReplicationStatus;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** One promotion: finds the most advanced replica, orders its promotion, and waits for it to lead. */
+/** One promotion: finds the most advanced replica, orders its promotion and waits until it is the primary. */
 final class ReplicaPromotion {
 
-    /** Time in which replicas answer the question for their positions, milliseconds. */
+    /** Timeout of status queries and of the request to step down, milliseconds. */
     private static final long STATUS_TIMEOUT_MILLIS = 250;
 
-    /** Time between two questions when too few replicas answered, milliseconds. */
+    /** Delay before replicas are queried again when too few of them answered, milliseconds. */
     private static final long STATUS_RETRY_DELAY_MILLIS = 300;
 
-    /** Pause before an order without an answer is repeated, milliseconds. */
+    /** Delay before an unanswered order is repeated or a failed promotion is started again, milliseconds. */
     private static final long ORDER_RETRY_DELAY_MILLIS = 250;
 
-    /** Orders of one run, the first included. */
+    /** Maximum number of orders of one promotion, the first included. */
     private static final int MAX_ORDERS = 6;
 
-    /** Time in which a promoted endpoint leads, milliseconds: a few times what groups take. */
+    /** Time in which a promoted endpoint must become the primary, milliseconds: a few times what groups take. */
     private static final long PROMOTION_TIMEOUT_MILLIS = 3_000;
 
     private static final Logger LOG = LogManager.getLogger(ReplicaPromotion.class);
@@ -63,9 +63,9 @@
     /**
      * Starts the promotion.
      *
-     * @param replaced the present primary
-     * @param handover whether the present primary still works and hands over
-     * @param cutOff number of VMs that cannot use the present primary
+     * @param replaced the current primary, if there is one
+     * @param handover whether the current primary is still reachable and hands over
+     * @param cutOff number of VMs that cannot reach the current primary
      */
     void start(Option<Endpoint> replaced, boolean handover, int cutOff) {
         oldPrimary = replaced;
@@ -80,7 +80,7 @@
         queryCandidates();
     }
 
-    /** Whether the run has ended and its effect had time to show. */
+    /** Returns whether the promotion has ended and has either taken effect or had enough time to do so. */
     boolean isSettled(long nowMillis) {
         boolean replaced = group.primary()
                 .exists(primary ->
@@ -128,8 +128,8 @@
     }
 
     /**
-     * The most advanced replica. With synchronous replicas, an acknowledged commit may be on one of them only, so all
-     * but as many as may lack it must have answered.
+     * Returns the most advanced replica. With synchronous replicas, an acknowledged commit is guaranteed to be on that
+     * many replicas only, so more replicas must have answered than may lack it.
      */
     private Option<Endpoint> mostAdvanced(List<Endpoint> candidates, List<CandidateStatus> statuses) {
         int replicas = (int) group.endpoints().stream()
@@ -184,7 +184,7 @@
                 end(PROMOTION_TIMEOUT_MILLIS);
             }
             case REJECTED -> {
-                // Either the endpoint is down or another VM has used a higher token: the record tells.
+                // The endpoint is down, or another VM has used a higher token; reading the record again tells which.
                 rejectedEndpoints.add(target.id());
                 election.tokenRejected();
                 end(ORDER_RETRY_DELAY_MILLIS);
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Repeats an order unless the primary has become usable again or this VM has lost the duty meanwhile. */
+    /** Repeats an order unless the failed primary is reachable again or this VM has lost the leadership. */
     private void repeatOrder(Endpoint target, LeadershipRecord leadership) {
         boolean usable = !planned && group.primary().exists(primary -> group.isReachable(primary.id()));
         if (usable || !election.isLeader()) {
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Stops writes at the old primary, so that none is acknowledged that the new one has not received. */
+    /** Stops writes at the old primary, so that it acknowledges none that the new primary has not received. */
     private void stepDownOldPrimary() {
         oldPrimary.forEach(primary -> group.stepDown(
                 primary.id(),
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/UnreachabilityReports.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/UnreachabilityReports.java
@@ -3,10 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which VMs cannot use which endpoint as a primary, by their latest reports. */
+/** Tracks which VMs cannot reach an endpoint as the primary of its group, by their latest reports. */
 final class UnreachabilityReports {
 
-    /** Time for which a report counts, milliseconds: three periods of sending. */
+    /** Time for which a report is valid, milliseconds: longer than three reporting periods. */
     private static final long REPORT_VALIDITY_MILLIS = 900;
 
     private final Map<String, Map<String, Long>> reportTimesMillis = new HashMap<>();
@@ -17,7 +17,7 @@
                 .put(vm, nowMillis);
     }
 
-    /** Number of VMs whose report about an endpoint is recent. */
+    /** Returns the number of VMs with a valid report about an endpoint. */
     int count(String group, String endpoint, long nowMillis) {
         Map<String, Long> reports = reportTimesMillis.get(key(group, endpoint));
         if (reports == null) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/package-info.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/failover/package-info.java
@@ -1,2 +1,5 @@
-/** Detects primaries that are lost or about to leave, and has the platform promote another endpoint. */
+/**
+ * Detects primaries that are unreachable or draining and has the platform promote a replica. Part of the engine for the
+ * users' platform.
+ */
 package org.hyssopswitch.pool.failover;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
@@ -31,21 +31,24 @@
 /**
  * Borrows connections from the VMs that lend them.
  *
- * <p>A lender that leaves anything unanswered is asked for a sign of life; when it stays silent, all that it lent is
- * given up and the next candidate is asked. Whether an endpoint lives is the lender's judgement, not the borrower's.
+ * <p>A lender that leaves anything unanswered is pinged. When it stays unresponsive, all its leases are abandoned and
+ * the next candidate is asked. Whether an endpoint is reachable is judged by the lender, not by the borrower.
  */
 public final class ConnectionBorrower implements LeaseSource {
 
-    /** Silence of a lender with something unanswered after which it is asked for a sign of life, milliseconds. */
+    /** Time without contact after which a lender that owes an answer is pinged, milliseconds. */
     private static final long PING_AFTER_MILLIS = 120;
 
-    /** Silence after which a lender counts as lost, milliseconds: well below the time limits of statements. */
+    /**
+     * Time without an answer after which a lender is considered lost, milliseconds: well below the timeouts of
+     * statements.
+     */
     private static final long LENDER_TIMEOUT_MILLIS = 400;
 
-    /** Time after which a question for a position is given up, milliseconds. */
+    /** Timeout of position queries, milliseconds. */
     private static final long POSITION_QUERY_TIMEOUT_MILLIS = 1_000;
 
-    /** Time between two ticks from which on this VM counts as having been paused, milliseconds. */
+    /** Time between two ticks above which this VM is considered to have been suspended, milliseconds. */
     private static final long SUSPENSION_THRESHOLD_MILLIS = 200;
 
     private static final Logger LOG = LogManager.getLogger(ConnectionBorrower.class);
@@ -66,8 +69,8 @@
      * Creates a borrower that knows no other VM.
      *
      * @param self name of this VM
-     * @param peers the other VMs
-     * @param random chooses the first number, so that those of an earlier process are not used again
+     * @param peers links to the other VMs
+     * @param random chooses the first identifier, so that those of an earlier process are not reused
      * @param clock milliseconds of the monotonic clock
      */
     public ConnectionBorrower(String self, PeerLinks peers, RandomGenerator random, LongSupplier clock) {
@@ -80,16 +83,16 @@
     }
 
     /**
-     * Sends over whom messages are exchanged from now on.
+     * Sets the links over which messages are sent from now on.
      *
-     * @param links the other VMs
+     * @param links links to the other VMs
      */
     public void connect(PeerLinks links) {
         peers = links;
     }
 
     /**
-     * Takes the list of VMs.
+     * Updates the list of VMs.
      *
      * @param dataCentres data centre by name of the VM
      */
@@ -136,7 +139,7 @@
     }
 
     /**
-     * Takes a message of a VM.
+     * Handles a message from another VM.
      *
      * @param vm name of the sender
      * @param message the message
@@ -157,7 +160,7 @@
     }
 
     /**
-     * The link to a VM failed: what was sent to it may be lost.
+     * The link to a VM failed: messages sent to it may be lost.
      *
      * @param vm name of the VM
      */
@@ -165,7 +168,7 @@
         lenderLost(vm, "link_failed");
     }
 
-    /** Looks for lenders that do not answer; called every few milliseconds. */
+    /** Detects unresponsive lenders; called every few milliseconds. */
     public void tick() {
         long now = clock.getAsLong();
         boolean suspended = now - lastTickMillis > SUSPENSION_THRESHOLD_MILLIS;
@@ -185,7 +188,7 @@
         List.copyOf(unansweredSinceMillis.keySet()).forEach(vm -> checkTimeout(vm, now));
     }
 
-    /** Asks a lender that has been silent for a while although it owes an answer, which may take its time. */
+    /** Pings a lender that owes an answer and has sent nothing for a while; the answer itself may take longer. */
     private void pingIfSilent(String vm, long now) {
         long lastActivityMillis = Math.max(lastContactMillis.getOrDefault(vm, 0L), lastPingMillis.getOrDefault(vm, 0L));
         if (now - lastActivityMillis > PING_AFTER_MILLIS) {
@@ -236,7 +239,10 @@
                 .filter(link -> link.origin().vm().equals(vm) && !link.isClosed());
     }
 
-    /** Sends a message; all but the return of a connection are answered at once, by a pong if by nothing else. */
+    /**
+     * Sends a message. Except after the return of a connection, the receiver must send something within the lender
+     * timeout, if only the pong to a ping.
+     */
     private void send(String vm, PeerMessage message) {
         if (!(message instanceof LeaseReturn)) {
             unansweredSinceMillis.putIfAbsent(vm, clock.getAsLong());
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionLender.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionLender.java
@@ -25,15 +25,15 @@
 /**
  * Lends this VM's connections to other VMs, one operation at a time.
  *
- * <p>All operations of an endpoint thus wait in one queue, and connections are used again by the next operation of the
+ * <p>All operations of an endpoint thus wait in one queue, and a connection is reused for the next operation of the
  * same client account, whichever VM it comes from.
  */
 public final class ConnectionLender {
 
-    /** Time without a command after which a lent connection is taken back, milliseconds: its borrower is gone. */
+    /** Time without a command after which a lent connection is taken back, milliseconds: its borrower is unavailable. */
     private static final long LEASE_IDLE_TIMEOUT_MILLIS = 10_000;
 
-    /** Leases at most; what lies beyond is refused at once. */
+    /** Maximum number of leases; requests beyond it are refused at once. */
     private static final int MAX_LEASES = 2_000;
 
     private final DatabaseGroups groups;
@@ -46,7 +46,7 @@
      * Creates a lender.
      *
      * @param groups the database groups
-     * @param peers the other VMs
+     * @param peers links to the other VMs
      * @param clock milliseconds of the monotonic clock
      */
     public ConnectionLender(DatabaseGroups groups, PeerLinks peers, LongSupplier clock) {
@@ -56,22 +56,22 @@
     }
 
     /**
-     * Sends over whom messages are exchanged from now on.
+     * Sets the links over which messages are sent from now on.
      *
-     * @param links the other VMs
+     * @param links links to the other VMs
      */
     public void connect(PeerLinks links) {
         peers = links;
     }
 
-    /** Lends no further connections and closes unused ones; those that are lent are left to their borrowers. */
+    /** Stops lending and closes unused connections; connections that are lent stay with their borrowers. */
     public void stop() {
         stopping = true;
         groups.stop();
     }
 
     /**
-     * Takes a message of a VM.
+     * Handles a message from another VM.
      *
      * @param vm name of the sender
      * @param message the message
@@ -94,12 +94,12 @@
         }
     }
 
-    /** Connections that are lent or asked for. */
+    /** Returns the number of connections that are lent or requested. */
     public int leaseCount() {
         return leases.size();
     }
 
-    /** Takes back connections whose borrowers are gone; called every few milliseconds. */
+    /** Takes back connections whose borrowers are unavailable; called every few milliseconds. */
     public void tick() {
         long now = clock.getAsLong();
         for (Map.Entry<LeaseKey, Lease> entry : List.copyOf(leases.entrySet())) {
@@ -138,7 +138,7 @@
 
     private record LeaseKey(String vm, long leaseId) {}
 
-    /** Tells a borrower what becomes of its lease. */
+    /** Notifies the borrower of the events of its lease. */
     private final class BorrowerNotifier implements Lease.Listener {
 
         private final LeaseKey key;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Lease.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/Lease.java
@@ -37,7 +37,7 @@
         this.assignmentDeadlineMillis = lastUsedMillis + request.waitMillis();
     }
 
-    /** When the borrower last sent something, milliseconds of the monotonic clock. */
+    /** Returns when the borrower last sent a message, milliseconds of the monotonic clock. */
     long lastUsedMillis() {
         return lastUsedMillis;
     }
@@ -108,7 +108,7 @@
     void run(LeaseCommand command) {
         lastUsedMillis = clock.getAsLong();
         if (connection.isEmpty() || command.sequence() != receivedCommands) {
-            // A command before this one was lost with the link that carried it.
+            // An earlier command was lost when the link between the VMs failed.
             connection.forEach(PooledConnection::discard);
             if (!ended) {
                 end(LeaseEndReason.BROKEN);
@@ -121,7 +121,7 @@
         connection.get().send(command.command(), new CommandReply(command.sequence()));
     }
 
-    /** The borrower returned the connection or gave up its request. */
+    /** The borrower returned the connection or abandoned its request. */
     void release() {
         ended = true;
         connection.forEach(lent -> {
@@ -140,7 +140,7 @@
         listener.ended(request.group(), request.endpoint(), reason);
     }
 
-    /** Told what becomes of a lease. */
+    /** Receives the events of a lease. */
     interface Listener {
 
         /** A connection is lent. */
@@ -150,11 +150,11 @@
         void replied(LeaseReply reply);
 
         /**
-         * The lease is over.
+         * The lease has ended.
          *
-         * @param group the endpoint's group
+         * @param group group of the endpoint
          * @param endpointId the endpoint
-         * @param defaultReason why, unless the endpoint cannot be reached
+         * @param defaultReason the reason to report unless the group refuses to lend connections to the endpoint
          */
         void ended(String group, String endpointId, LeaseEndReason defaultReason);
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
@@ -14,7 +14,7 @@
 import org.hyssopswitch.pool.statement.EndpointCommand;
 import org.hyssopswitch.pool.statement.PreparedShape;
 
-/** A connection that another VM lends, as the borrower sees it. */
+/** The borrower's side of a connection that another VM lends. */
 final class LeasedEndpointLink implements BorrowedLink {
 
     private final Origin origin;
@@ -41,7 +41,7 @@
         return closed;
     }
 
-    /** Whether the request or a command waits for an answer. */
+    /** Returns whether the lease request or a command is unanswered. */
     boolean isAwaitingReply() {
         return !closed && (!granted || receivedReplies < sentCommands);
     }
@@ -77,7 +77,7 @@
 
     void replied(LeaseReply reply) {
         if (reply.sequence() != receivedReplies) {
-            // An answer was lost with the link that carried it.
+            // A reply was lost when the link between the VMs failed.
             close();
             listener.leaseEnded(LeaseEndReason.BROKEN);
             return;
@@ -86,18 +86,20 @@
         listener.replied(reply.reply());
     }
 
-    /** The lender ended the lease or is lost; it is told all the same, in case it lives. */
+    /**
+     * The lender ended the lease or is considered lost. It is notified in both cases, because it may still be running.
+     */
     void ended(LeaseEndReason reason) {
         close();
         listener.leaseEnded(reason);
     }
 
     /**
-     * Where a connection comes from.
+     * Origin of a lent connection.
      *
      * @param vm name of the lender
      * @param endpointId the endpoint
-     * @param leaseId this VM's number of the lease
+     * @param leaseId identifier of the lease, chosen by this VM
      */
     record Origin(String vm, String endpointId, long leaseId) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LenderDirectory.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LenderDirectory.java
@@ -8,22 +8,23 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 
 /**
- * Which VM lends connections to which endpoint.
+ * Determines which VM lends connections to which endpoint.
  *
  * <p>Each endpoint has a few candidates among the VMs of its data centre, in the order of rendezvous hashing. The first
- * one that has not failed lately lends, so that VMs with the same list agree unless they see different failures.
+ * candidate that has not failed recently lends, so that VMs with the same list agree unless they see different
+ * failures.
  */
 final class LenderDirectory {
 
-    /** Candidates of an endpoint; beyond them, VMs connect themselves. */
+    /** Maximum number of candidates of an endpoint; when all of them have failed, VMs open their own connections. */
     private static final int MAX_CANDIDATES = 3;
 
-    /** Time for which a VM is not asked after a failure, milliseconds; doubled with each failure that follows. */
+    /** Time for which a VM is not asked after a failure, milliseconds; doubled with each subsequent failure. */
     private static final long INITIAL_BACKOFF_MILLIS = 1_000;
 
     private static final long MAX_BACKOFF_MILLIS = 30_000;
 
-    /** Time for which a VM is not asked for an endpoint that it does not reach, milliseconds. */
+    /** Time for which a VM is not asked for an endpoint that it cannot reach, milliseconds. */
     private static final long UNREACHABLE_BACKOFF_MILLIS = 3_000;
 
     private final String self;
@@ -37,7 +38,7 @@
     }
 
     /**
-     * Takes the list of VMs.
+     * Updates the list of VMs.
      *
      * @param dataCentreOf data centre by name of the VM
      */
@@ -49,7 +50,8 @@
     }
 
     /**
-     * The VM to ask for connections to an endpoint, possibly this one; nothing when all candidates failed.
+     * Returns the VM to ask for connections to an endpoint, possibly this one, or nothing when all candidates have
+     * failed.
      *
      * @param endpoint the endpoint
      * @param nowMillis milliseconds of the monotonic clock
@@ -67,7 +69,7 @@
         return Option.none();
     }
 
-    /** A VM does not answer or does not lend at all. */
+    /** Records that a VM does not answer or does not lend at all. */
     void markFailed(String vm, long nowMillis) {
         Failure previous = failures.get(vm);
         if (previous != null && nowMillis < previous.untilMillis()) {
@@ -78,12 +80,12 @@
         failures.put(vm, new Failure(backoffMillis, nowMillis + backoffMillis));
     }
 
-    /** A VM has answered. */
+    /** Records that a VM has answered. */
     void markResponsive(String vm) {
         failures.remove(vm);
     }
 
-    /** A VM does not reach an endpoint. */
+    /** Records that a VM cannot reach an endpoint. */
     void markEndpointUnreachable(String vm, String endpointId, long nowMillis) {
         unreachableUntilMillis.put(new LenderEndpoint(vm, endpointId), nowMillis + UNREACHABLE_BACKOFF_MILLIS);
     }
@@ -95,7 +97,7 @@
         });
     }
 
-    /** The first VMs of a data centre, or of all when it is empty. */
+    /** Returns the highest-ranked VMs of a data centre, or of all data centres when it is empty. */
     private List<String> rankedVms(String endpointId, String dataCentre) {
         return dataCentres.entrySet().stream()
                 .filter(vm -> dataCentre.isEmpty() || vm.getValue().equals(dataCentre))
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/ConnectionShortage.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/ConnectionShortage.java
@@ -3,7 +3,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * An endpoint refused a VM a connection within its guaranteed part: others close what they hold beyond theirs.
+ * Reports that an endpoint refused the sender a connection within its guaranteed share: the receivers close connections
+ * beyond theirs.
  *
  * @param group the group
  * @param endpoint the endpoint
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
@@ -20,10 +20,13 @@
 import org.hyssopswitch.peer.PeerTransport;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** Links over TCP with MessagePack messages. */
+/** Links to the other VMs over TCP, with messages encoded in MessagePack. */
 public final class DefaultPeerLinks implements PeerLinks {
 
-    /** VMs that a message for some is sent to: enough to find spare operations, and bounded in any fleet. */
+    /**
+     * Maximum number of recipients of a message to a subset of the VMs: enough to find unused tokens, and bounded in
+     * any fleet.
+     */
     private static final int MAX_RECIPIENTS = 8;
 
     private final DecisionLoop loop;
@@ -37,11 +40,11 @@
     /**
      * Binds the listener for other VMs.
      *
-     * @param options who this VM is
+     * @param options identity and address of this VM, and the limits of its links
      * @param loop the decision thread
      * @param random chooses recipients
-     * @param receiver takes messages with the sender's name, on the decision thread
-     * @param linkFailed told the name of a VM to which messages may have been lost, on the decision thread
+     * @param receiver receives messages with the name of the sender, on the decision thread
+     * @param linkFailed receives the name of a VM to which messages may have been lost, on the decision thread
      */
     public DefaultPeerLinks(
             PeerOptions options,
@@ -60,7 +63,7 @@
     }
 
     /**
-     * Takes the list of VMs; the address of a later incarnation that has sent a message is kept.
+     * Updates the list of VMs. The address of a later incarnation that has sent a message is kept.
      *
      * @param listed the VMs, this one included
      */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeadershipPing.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeadershipPing.java
@@ -3,8 +3,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks the holder of the promotion duty whether it still is.
+ * Asks the promotion leader whether it still holds the leadership.
  *
- * @param epoch the holder's epoch as the sender knows it
+ * @param epoch epoch of the leader, as known to the sender
  */
 public record LeadershipPing(long epoch) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeadershipPong.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeadershipPong.java
@@ -3,9 +3,9 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Answers whether a VM holds the promotion duty.
+ * Answers a {@link LeadershipPing}.
  *
- * @param epoch the latest epoch known to the sender
- * @param leader who holds the duty in that epoch
+ * @param epoch latest epoch known to the sender
+ * @param leader leader in that epoch; empty when the sender knows none
  */
 public record LeadershipPong(long epoch, String leader) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseCommand.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseCommand.java
@@ -7,10 +7,10 @@
 import org.hyssopswitch.pool.statement.PreparedShape;
 
 /**
- * A command for a lent connection.
+ * A command to run on a lent connection.
  *
- * @param leaseId the borrower's number
- * @param sequence 0 for the first command of the lease and one more for each following; a gap ends the lease
+ * @param leaseId identifier of the lease, chosen by the borrower
+ * @param sequence 0 for the first command of the lease, incremented with each further command; a gap ends the lease
  * @param values session values that the connection must have
  * @param shape the statement that must be prepared
  * @param command the command
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseEnded.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseEnded.java
@@ -4,9 +4,9 @@
 import org.hyssopswitch.pool.endpoint.LeaseEndReason;
 
 /**
- * The lender does not lend a connection, or no longer.
+ * The lender refuses or ends a lease.
  *
- * @param leaseId the borrower's number
+ * @param leaseId identifier of the lease, chosen by the borrower
  * @param reason why
  */
 public record LeaseEnded(long leaseId, LeaseEndReason reason) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseGrant.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseGrant.java
@@ -3,8 +3,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * A connection is lent until the borrower returns it.
+ * The lender lends a connection until the borrower returns it.
  *
- * @param leaseId the borrower's number
+ * @param leaseId identifier of the lease, chosen by the borrower
  */
 public record LeaseGrant(long leaseId) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseReply.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LeaseReply.java
@@ -4,10 +4,10 @@
 import org.hyssopswitch.pool.statement.Reply;
 
 /**
- * The answer to a command on a lent connection.
+ * The reply to a command on a lent connection.
  *
- * @param leaseId the borrower's number
- * @param sequence the command's number
- * @param reply the answer
+ * @param leaseId identifier of the lease, chosen by the borrower
+ * @param sequence sequence number of the command
+ * @param reply the reply
  */
 public record LeaseReply(long leaseId, int sequence, Reply reply) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LenderPing.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/LenderPing.java
@@ -3,7 +3,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks a VM that lends connections for a sign of life.
+ * Asks a VM, usually one that lends connections, whether it is responsive.
  *
  * @param reply whether this is the answer
  */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PeerLinks.java
@@ -7,7 +7,7 @@
 public interface PeerLinks {
 
     /**
-     * Sends a message to one VM, or drops it when the VM is not known or not reachable.
+     * Sends a message to one VM, or drops it when the VM is unknown or unreachable.
      *
      * @param vm name of the VM
      * @param message the message
@@ -15,12 +15,12 @@
     void send(String vm, PeerMessage message);
 
     /**
-     * Sends a message to some other VMs, at most a fixed number of them whatever the size of the fleet.
+     * Sends a message to some of the other VMs, at most a fixed number of them in a fleet of any size.
      *
      * @param message the message
      */
     void sendToSubset(PeerMessage message);
 
-    /** Names of the other VMs. */
+    /** Returns the names of the other VMs. */
     Collection<String> names();
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PositionAnswer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/PositionAnswer.java
@@ -5,10 +5,10 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * Answers a question for a primary's position.
+ * Answers a {@link PositionQuery}.
  *
- * @param queryId the sender's number
- * @param reachable whether the endpoint can be reached
- * @param position the position; nothing when the endpoint is not the primary or cannot be reached
+ * @param queryId identifier of the query
+ * @param reachable whether the endpoint is reachable
+ * @param position log position of the primary; nothing when the endpoint is not the primary or is unreachable
  */
 public record PositionAnswer(long queryId, boolean reachable, Option<LogPosition> position) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/StoreSyncRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/StoreSyncRequest.java
@@ -3,7 +3,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * A VM asks a relay for what is newer in the store than what it knows.
+ * Asks a store relay for changes in the store that the sender does not know yet.
  *
  * @param catalogVersion version of the configuration in force
  * @param endpointsDigest digest of the list of endpoints
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/StoreSyncResponse.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/StoreSyncResponse.java
@@ -7,12 +7,12 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 
 /**
- * A relay tells what it has read in the store.
+ * A store relay answers a {@link StoreSyncRequest} with what the requester lacks.
  *
- * @param current whether the relay is in touch with the store
- * @param catalog the configuration, if it is newer than the asker's
+ * @param current whether the relay is in contact with the store
+ * @param catalog the configuration, if it is newer than the requester's
  * @param endpointsRevision store revision of the list of endpoints
- * @param endpoints all endpoints, if the list differs from the asker's
+ * @param endpoints all endpoints, if the list differs from the requester's
  */
 public record StoreSyncResponse(
         boolean current, Option<Catalog> catalog, long endpointsRevision, Option<List<Endpoint>> endpoints)
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenRequest.java
@@ -4,8 +4,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * A VM asks for operations of client accounts that others may spend and do not need.
+ * Asks other VMs for tokens of client accounts that they hold and do not need.
  *
- * @param wanted number of operations by client account
+ * @param wanted number of tokens by client account
  */
 public record TokenRequest(Map<String, Double> wanted) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenTransfer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/TokenTransfer.java
@@ -4,8 +4,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * A VM hands over operations that it will not spend itself.
+ * Transfers unused tokens to another VM.
  *
- * @param tokens number of operations by client account
+ * @param tokens number of tokens by client account
  */
 public record TokenTransfer(Map<String, Double> tokens) implements PeerMessage {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetMembership.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetMembership.java
@@ -27,22 +27,22 @@
 import org.hyssopswitch.pool.store.VersionedObject;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** Makes this VM known to the others through the store and keeps links to them. */
+/** Registers this VM in the store, reads the list of the other VMs and maintains the links to them. */
 final class FleetMembership {
 
     private static final String SECRET_NAME = "secret";
     private static final int SECRET_BYTES = 24;
 
-    /** Pause before a failed call to the store is repeated, milliseconds. */
+    /** Delay before a failed call to the store is repeated, milliseconds. */
     private static final long RETRY_DELAY_MILLIS = 400;
 
-    /** Period in which the list of VMs is read, milliseconds: VMs come and go rarely. */
+    /** Period in which the list of VMs is read, milliseconds: VMs are rarely added or removed. */
     private static final long LIST_PERIOD_MILLIS = 5_000;
 
-    /** Period in which the list of VMs is read until the fleet has started, milliseconds. */
+    /** Period in which the list of VMs is read while the fleet starts, milliseconds. */
     private static final long STARTUP_LIST_PERIOD_MILLIS = 1_500;
 
-    /** Reads of the list of VMs at the shorter period. */
+    /** Number of reads of the list of VMs at the shorter period. */
     private static final int STARTUP_LIST_COUNT = 6;
 
     private static final Logger LOG = LogManager.getLogger(FleetMembership.class);
@@ -59,13 +59,13 @@
     private int listCount;
 
     /**
-     * Creates the fleet of one VM.
+     * Creates the membership of one VM.
      *
-     * @param dependencies the way to the outside
-     * @param receiver takes messages of other VMs
-     * @param connected told once messages can be sent
-     * @param linkFailed told the name of a VM to which messages may have been lost
-     * @param changed told the data centre of all VMs by name, this one included
+     * @param dependencies external dependencies of the VM
+     * @param receiver handles messages from other VMs
+     * @param connected receives the links once messages can be sent
+     * @param linkFailed receives the name of a VM to which messages may have been lost
+     * @param changed receives the data centre of all VMs by name, this one included
      */
     FleetMembership(
             VmDependencies dependencies,
@@ -156,7 +156,7 @@
     }
 
     private void requestList() {
-        // A VM that starts must know all that started before it.
+        // The first list must not be stale: a VM that starts must know all VMs that started before it.
         dependencies.vms().list(!dataCentres.isEmpty(), result -> result.peek(this::applyListing)
                 .peekLeft(failure -> {
                     LOG.warn("event=vm_list_failed cause=\"{}\"", failure.describe());
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetSecret.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/FleetSecret.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.pool.vm;
 
 /**
- * The secret by which the VMs of a fleet recognise each other.
+ * The secret by which the VMs of a fleet authenticate each other.
  *
  * @param secret random text, 16 characters or more
  */
 public record FleetSecret(String secret) {
 
-    /** Checks the length. */
+    /** Validates the length. */
     public FleetSecret {
         if (secret.length() < 16) {
             throw new IllegalArgumentException("the fleet secret must have 16 characters or more");
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
@@ -4,18 +4,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Tells whether this VM is cut off from the other data centres while callers still reach it.
+ * Detects that this VM is cut off from the other data centres while callers still reach it.
  *
- * <p>Answers a data centre that is cut off: its VMs can serve few statements, and callers that are sent to another data
- * centre are served. The loss of primaries alone is no sign, because the other VMs may have lost them too; it counts once
- * no VM of another data centre answers either.
+ * <p>VMs of a data centre that is cut off can serve few statements, whereas callers that are sent to another data
+ * centre are served. Unreachable primaries alone do not indicate isolation, because the other VMs may have lost them
+ * too; this VM is isolated only once no VM of another data centre answers either.
  */
 final class IsolationDetector {
 
-    /** Silence of the other data centres after which this VM counts as cut off, milliseconds: several lost pings. */
+    /** Time without contact to other data centres after which this VM is isolated, milliseconds: several lost pings. */
     private static final long CONFIRMATION_MILLIS = 600;
 
-    /** Period in which VMs of other data centres are asked for a sign of life, milliseconds. */
+    /** Period in which VMs of other data centres are pinged, milliseconds. */
     private static final long PING_PERIOD_MILLIS = 150;
 
     private static final Logger LOG = LogManager.getLogger(IsolationDetector.class);
@@ -28,9 +28,9 @@
     private long lastPingMillis;
 
     /**
-     * Creates a detector that sees no isolation.
+     * Creates a detector that reports no isolation.
      *
-     * @param ping asks some VMs of other data centres for a sign of life
+     * @param ping pings some VMs of other data centres
      * @param nowMillis milliseconds of the monotonic clock
      */
     IsolationDetector(Runnable ping, long nowMillis) {
@@ -38,15 +38,15 @@
         this.lastPingMillis = nowMillis;
     }
 
-    /** A message of a VM of another data centre has arrived. */
+    /** Records a message from a VM of another data centre. */
     void remoteMessageReceived(long nowMillis) {
         silentSinceMillis = nowMillis;
     }
 
     /**
-     * Looks at the signs; called every few milliseconds.
+     * Updates the state; called every few milliseconds.
      *
-     * @param remotePrimariesLost whether there are primaries in other data centres and none of them can be reached
+     * @param remotePrimariesLost whether there are primaries in other data centres and none of them is reachable
      * @param nowMillis milliseconds of the monotonic clock
      */
     void tick(boolean remotePrimariesLost, long nowMillis) {
@@ -70,7 +70,7 @@
         return isolated;
     }
 
-    /** Time since the VM was found to be cut off, milliseconds; 0 when it is not. */
+    /** Returns the time since the VM was found to be isolated, milliseconds; 0 when it is not. */
     long isolatedMillis(long nowMillis) {
         return isolated ? nowMillis - isolatedSinceMillis : 0;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/MetricsText.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/MetricsText.java
@@ -5,7 +5,7 @@
 import com.codahale.metrics.Snapshot;
 import java.util.Locale;
 
-/** The metrics of a registry in the text exposition format: one line for each value. */
+/** Formats the metrics of a registry in the text exposition format, one line per value. */
 public final class MetricsText {
 
     private static final String PREFIX = "hyssopswitch_";
@@ -13,7 +13,7 @@
     private MetricsText() {}
 
     /**
-     * Writes all counters, gauges and histograms.
+     * Returns all counters, gauges and histograms as text.
      *
      * @param registry the metrics
      */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/NoPeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/NoPeerLinks.java
@@ -5,17 +5,17 @@
 import org.hyssopswitch.core.message.PeerMessage;
 import org.hyssopswitch.pool.peer.PeerLinks;
 
-/** Stands for the other VMs until the store has told who they are. */
+/** Links of a VM that does not know the other VMs yet; drops all messages. */
 final class NoPeerLinks implements PeerLinks {
 
     @Override
     public void send(String vm, PeerMessage message) {
-        // No VM is known yet, so there is none to tell.
+        // No other VM is known yet.
     }
 
     @Override
     public void sendToSubset(PeerMessage message) {
-        // No VM is known yet, so there is none to tell.
+        // No other VM is known yet.
     }
 
     @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/PoolVm.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/PoolVm.java
@@ -43,28 +43,28 @@
 import org.hyssopswitch.pool.store.TableWatcher;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** One VM: follows configuration and endpoints in the store and serves sessions. */
+/** One VM of the pool engine: follows configuration and endpoints in the store and serves sessions. */
 public final class PoolVm {
 
-    /** Period in which time limits are checked, milliseconds. */
+    /** Period in which timeouts are checked, milliseconds. */
     private static final long TICK_MILLIS = 20;
 
     /**
-     * Longest watch of the configuration, milliseconds: with the call's time limit it ends within the 4 s in which a VM
-     * must again follow changes after a connection has gone silent.
+     * Maximum duration of a watch of the configuration, milliseconds: with the timeout of the call it ends within the
+     * 4 s in which a VM must follow changes again after a connection has become unresponsive.
      */
     private static final long MAX_CONFIGURATION_WATCH_MILLIS = 2_800;
 
-    /** Longest watch of the endpoints, milliseconds: a stopping endpoint must be left within 7 s. */
+    /** Maximum duration of a watch of the endpoints, milliseconds: a VM must leave a draining endpoint within 7 s. */
     private static final long MAX_ENDPOINT_WATCH_MILLIS = 4_500;
 
-    /** Time in which the balancer notices that the VM is not ready, milliseconds: two probes of a second. */
+    /** Time in which the balancer notices that the VM is not ready, milliseconds: two probe periods of one second. */
     private static final long READINESS_PROPAGATION_MILLIS = 2_200;
 
-    /** Idle sessions closed per tick while the VM is cut off, so that their callers do not reconnect all at once. */
+    /** Number of idle sessions closed per tick during isolation, so that their callers do not reconnect all at once. */
     private static final int SESSIONS_CLOSED_PER_TICK = 1;
 
-    /** VMs of other data centres that are asked for a sign of life at a time. */
+    /** Number of VMs of other data centres that are pinged at a time. */
     private static final int ISOLATION_PING_COUNT = 3;
 
     private static final Logger LOG = LogManager.getLogger(PoolVm.class);
@@ -96,7 +96,7 @@
     /**
      * Creates a VM.
      *
-     * @param dependencies its way to the outside
+     * @param dependencies external dependencies of the VM
      */
     public PoolVm(VmDependencies dependencies) {
         this.dependencies = dependencies;
@@ -148,7 +148,7 @@
         metrics.gauge("fleet_vms", () -> () -> vmNames.size());
     }
 
-    /** Starts to follow the store. */
+    /** Starts following the store. */
     public void start() {
         catalogWatcher.start();
         endpointWatcher.start();
@@ -156,26 +156,26 @@
         loop.schedule(TICK_MILLIS, this::tick);
     }
 
-    /** Counters and latencies; may be read on any thread. */
+    /** Returns counters and latencies; may be read on any thread. */
     public MetricRegistry metrics() {
         return metrics;
     }
 
-    /** The sessions of callers. */
+    /** Returns the sessions of callers. */
     public Sessions sessions() {
         return sessions;
     }
 
-    /** Whether new callers may be sent here; may be read on any thread. */
+    /** Returns whether new callers may be sent to this VM; may be called on any thread. */
     public boolean isReady() {
         return !draining && !isolated && endpointsRevision >= 0 && catalog.version() >= 0 && !vmNames.isEmpty();
     }
 
     /**
-     * Stops taking callers and ends once none is left.
+     * Stops taking callers and closes the sessions once they are idle; may be called on any thread.
      *
      * @param graceMillis milliseconds after which the process is killed
-     * @return done when no session is left; may be called on any thread
+     * @return completes when no session is left or the grace period is almost over
      */
     public Future<Boolean> drain(long graceMillis) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
@@ -209,7 +209,7 @@
         updateIsolation(loop.nowMillis());
     }
 
-    /** Has callers go to another data centre while this one is cut off from the others. */
+    /** Has callers reconnect to another data centre while this one is cut off from the others. */
     private void updateIsolation(long now) {
         isolationDetector.tick(remotePrimariesLost(), now);
         isolated = isolationDetector.isIsolated();
@@ -315,7 +315,7 @@
 
         @Override
         public void storeRecovered() {
-            // Versions only grow, so an outage needs no special care.
+            // Versions only grow, so recovery from an outage needs no special handling.
         }
     }
 
@@ -346,7 +346,7 @@
         }
     }
 
-    /** What the VM knows, from its own watches or from a relay. */
+    /** The state of the store as known to this VM, from its own watches or from a relay. */
     private final class LocalStoreView implements StoreView {
 
         @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/SessionDrain.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/SessionDrain.java
@@ -4,21 +4,21 @@
 import org.hyssopswitch.pool.session.Sessions;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** Closes the sessions of a VM that is to stop, without cutting a request. */
+/** Closes the sessions of a VM that shuts down, without interrupting a request. */
 final class SessionDrain {
 
-    /** Time in which the balancer notices that the VM is not ready, milliseconds: two probes of a second. */
+    /** Time in which the balancer notices that the VM is not ready, milliseconds: two probe periods of one second. */
     private static final long READINESS_PROPAGATION_MILLIS = 2_200;
 
     private static final long STEP_PERIOD_MILLIS = 50;
 
-    /** Part of the grace period that an open transaction has to end. */
+    /** Fraction of the grace period in which open transactions may end; idle ones are aborted afterwards. */
     private static final double TRANSACTION_GRACE_FRACTION = 0.5;
 
-    /** Time kept for closing connections before the kill, milliseconds. */
+    /** Time reserved for closing connections before the process is killed, milliseconds. */
     private static final long SHUTDOWN_RESERVE_MILLIS = 400;
 
-    /** Sessions closed per step, so that their callers do not reconnect all at once. */
+    /** Number of idle sessions closed per step, so that their callers do not reconnect all at once. */
     private static final int SESSIONS_CLOSED_PER_STEP = 4;
 
     private final DecisionLoop loop;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
@@ -16,23 +16,30 @@
 import org.hyssopswitch.pool.peer.StoreSyncResponse;
 
 /**
- * Follows the store through relays, so that its calls do not grow with the fleet.
+ * Synchronises this VM with the store through relays, so that the calls to the store do not grow with the fleet.
  *
- * <p>A few VMs of each data centre watch the store; the others ask them for news, and watch the store themselves only
- * while no relay that is in touch with it answers. In a small fleet all VMs watch the store.
+ * <p>A few VMs of each data centre are store relays and watch the store. The others poll them for changes, and watch
+ * the store themselves only while no relay that is in contact with it answers. In a small fleet all VMs watch the
+ * store.
  */
 final class StoreSynchronizer {
 
-    /** Largest fleet in which all VMs watch the store. */
+    /** Maximum number of VMs in a fleet in which all VMs watch the store. */
     private static final int MAX_VMS_WITHOUT_RELAYS = 8;
 
-    /** Relays of a data centre: one may fail unnoticed. */
+    /** Relays per data centre: one may fail without effect on the other VMs. */
     private static final int RELAYS_PER_DATA_CENTRE = 2;
 
-    /** Period in which a relay is asked, milliseconds: a part of the seconds in which a change must be in force. */
+    /**
+     * Period in which a relay is polled, milliseconds: a fraction of the seconds within which a change must be in
+     * force.
+     */
     private static final long SYNC_PERIOD_MILLIS = 400;
 
-    /** Time without an answer of a relay that is in touch with the store, after which a VM watches it, milliseconds. */
+    /**
+     * Time without an answer from a relay in contact with the store after which a VM watches the store itself,
+     * milliseconds.
+     */
     private static final long RELAY_TIMEOUT_MILLIS = 1_000;
 
     private static final Logger LOG = LogManager.getLogger(StoreSynchronizer.class);
@@ -61,7 +68,7 @@
         peers = links;
     }
 
-    /** Takes the data centre of each VM by its name. */
+    /** Updates the data centres of the VMs, by VM name, and chooses the relays. */
     void update(Map<String, String> dataCentres) {
         String own = dataCentres.get(self);
         List<String> elected = dataCentres.entrySet().stream()
@@ -74,12 +81,12 @@
         relays = relay ? List.of() : elected;
     }
 
-    /** Whether this VM watches the store for others, or all VMs do. */
+    /** Returns whether this VM watches the store for others, or all VMs do. */
     boolean isRelay() {
         return relay;
     }
 
-    /** Asks a relay when it is time; called every few milliseconds. */
+    /** Polls a relay when due and starts or stops watching the store; called every few milliseconds. */
     void tick() {
         long now = clock.getAsLong();
         if (!relays.isEmpty() && now - lastRequestMillis >= SYNC_PERIOD_MILLIS) {
@@ -129,7 +136,7 @@
         }
     }
 
-    /** The same for equal lists, whatever their order. */
+    /** Returns the same digest for equal lists, whatever their order. */
     private static long digest(Collection<Endpoint> endpoints) {
         return endpoints.stream()
                 .mapToLong(endpoint -> RendezvousUtils.score(endpoint.id(), Long.toString(endpoint.revision())))
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreView.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreView.java
@@ -4,27 +4,27 @@
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Endpoint;
 
-/** What a VM knows of the store's content, however it learnt it. */
+/** What a VM knows of the content of the store, whether from its own watches or from a relay. */
 interface StoreView {
 
-    /** The configuration in force. */
+    /** Returns the configuration in force. */
     Catalog catalog();
 
-    /** The listed endpoints. */
+    /** Returns the listed endpoints. */
     Collection<Endpoint> endpoints();
 
-    /** Store revision of the list of endpoints; -1 before the first list. */
+    /** Returns the store revision of the list of endpoints, or -1 before the first list. */
     long endpointsRevision();
 
-    /** Whether the store answered this VM's latest calls. */
+    /** Returns whether the store answered the latest calls of this VM. */
     boolean isCurrent();
 
-    /** Takes a configuration; an older one than that in force is ignored. */
+    /** Applies a configuration; one that is older than that in force is ignored. */
     void applyCatalog(Catalog next);
 
-    /** Takes all endpoints of a store revision; an older list than the present one is ignored. */
+    /** Applies the list of all endpoints of a store revision; a list that is older than the current one is ignored. */
     void applyEndpoints(long revision, Collection<Endpoint> all);
 
-    /** Begins or ceases to watch the store itself. */
+    /** Starts or stops watching the store directly. */
     void setWatching(boolean watching);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
@@ -12,10 +12,10 @@
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /**
- * How a VM reaches the outside.
+ * External dependencies of a VM.
  *
  * @param name name of the VM
- * @param self what it records about itself
+ * @param self entry of the VM in the store
  * @param loop the decision thread
  * @param timeOfDay milliseconds since the epoch, which may jump
  * @param random source of jitter
@@ -24,9 +24,9 @@
  * @param endpoints the listed endpoints
  * @param vms the VMs of the fleet
  * @param secrets the secret that the VMs of the fleet share
- * @param leadershipRecords who may order promotions
+ * @param leadershipRecords the promotion leader
  * @param promotionAuthority orders promotions
- * @param statusDecoder reads answers to status queries
+ * @param statusDecoder decodes answers to status queries
  */
 public record VmDependencies(
         String name,
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/package-info.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/package-info.java
@@ -1,2 +1,2 @@
-/** Assembles one VM that pools connections. */
+/** Assembles a VM of the engine for the users' platform, which pools connections to endpoints. */
 package org.hyssopswitch.pool.vm;
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PrimaryFailoverTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/failover/PrimaryFailoverTests.java
@@ -18,7 +18,7 @@
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
-/** A VM that holds the promotion duty, before a group whose primary fails or leaves. */
+/** A promotion leader and a group whose primary fails or drains. */
 class PrimaryFailoverTests {
 
     private static final int VMS = 6;
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/StoreSynchronizerTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/vm/StoreSynchronizerTests.java
@@ -15,7 +15,7 @@
 import org.hyssopswitch.pool.testing.ManualLoop;
 import org.junit.jupiter.api.Test;
 
-/** Two data centres of VMs, of which few watch the store. */
+/** Two data centres in which few VMs watch the store. */
 class StoreSynchronizerTests {
 
     private static final long TICK_MILLIS = 20;
