--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
@@ -184,12 +184,12 @@
         Stream.concat(lenders, pendingQueries.values().stream().map(PendingQuery::vm))
                 .distinct()
                 .toList()
-                .forEach(vm -> pingIfSilent(vm, now));
+                .forEach(vm -> pingIfUnresponsive(vm, now));
         List.copyOf(unansweredSinceMillis.keySet()).forEach(vm -> checkTimeout(vm, now));
     }
 
     /** Pings a lender that owes an answer and has sent nothing for a while; the answer itself may take longer. */
-    private void pingIfSilent(String vm, long now) {
+    private void pingIfUnresponsive(String vm, long now) {
         long lastActivityMillis = Math.max(lastContactMillis.getOrDefault(vm, 0L), lastPingMillis.getOrDefault(vm, 0L));
         if (now - lastActivityMillis > PING_AFTER_MILLIS) {
             lastPingMillis.put(vm, now);
@@ -198,9 +198,9 @@
     }
 
     private void checkTimeout(String vm, long now) {
-        long silentMillis = now - unansweredSinceMillis.get(vm);
-        if (silentMillis > LENDER_TIMEOUT_MILLIS) {
-            lenderLost(vm, "silent_ms_" + silentMillis);
+        long unresponsiveMillis = now - unansweredSinceMillis.get(vm);
+        if (unresponsiveMillis > LENDER_TIMEOUT_MILLIS) {
+            lenderLost(vm, "silent_ms_" + unresponsiveMillis);
         }
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
@@ -23,7 +23,7 @@
     private final Runnable ping;
     private boolean suspected;
     private boolean isolated;
-    private long silentSinceMillis;
+    private long noContactSinceMillis;
     private long isolatedSinceMillis;
     private long lastPingMillis;
 
@@ -40,7 +40,7 @@
 
     /** Records a message from a VM of another data centre. */
     void remoteMessageReceived(long nowMillis) {
-        silentSinceMillis = nowMillis;
+        noContactSinceMillis = nowMillis;
     }
 
     /**
@@ -51,16 +51,16 @@
      */
     void tick(boolean remotePrimariesLost, long nowMillis) {
         if (remotePrimariesLost && !suspected) {
-            silentSinceMillis = nowMillis;
+            noContactSinceMillis = nowMillis;
         }
         suspected = remotePrimariesLost;
         if (suspected && nowMillis - lastPingMillis >= PING_PERIOD_MILLIS) {
             lastPingMillis = nowMillis;
             ping.run();
         }
-        boolean cutOff = suspected && nowMillis - silentSinceMillis >= CONFIRMATION_MILLIS;
+        boolean cutOff = suspected && nowMillis - noContactSinceMillis >= CONFIRMATION_MILLIS;
         if (cutOff != isolated) {
-            LOG.warn("event=isolation_changed isolated={} silent_ms={}", cutOff, nowMillis - silentSinceMillis);
+            LOG.warn("event=isolation_changed isolated={} silent_ms={}", cutOff, nowMillis - noContactSinceMillis);
             isolatedSinceMillis = nowMillis;
         }
         isolated = cutOff;
