--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/LeasedEndpointLink.java
@@ -14,16 +14,16 @@
 import org.hyssopswitch.pool.statement.EndpointCommand;
 import org.hyssopswitch.pool.statement.PreparedShape;
 
-/** A connection that another VM lends, as the borrower sees it. */
+/** The borrower's side of a connection that another VM lends. */
 final class LeasedEndpointLink implements BorrowedLink {
 
     private final Origin origin;
     private final EndpointLink.Listener listener;
     private final BiConsumer<String, PeerMessage> sender;
-    private Map<String, String> values = Map.of();
+    private Map<String, String> sessionValues = Map.of();
     private Option<PreparedShape> shape = Option.none();
-    private int sent;
-    private int answered;
+    private int sentCommands;
+    private int receivedReplies;
     private boolean granted;
     private boolean closed;
 
@@ -41,22 +41,22 @@
         return closed;
     }
 
-    /** Whether the request or a command waits for an answer. */
+    /** Returns whether the lease request or a command is unanswered. */
     boolean isAwaitingReply() {
-        return !closed && (!granted || answered < sent);
+        return !closed && (!granted || receivedReplies < sentCommands);
     }
 
     @Override
     public void applySession(Map<String, String> wanted, Option<PreparedShape> prepared) {
-        values = Map.copyOf(wanted);
+        sessionValues = Map.copyOf(wanted);
         shape = prepared;
     }
 
     @Override
     public void send(List<EndpointCommand> commands) {
         for (EndpointCommand command : commands) {
-            sender.accept(origin.vm(), new LeaseCommand(origin.lease(), sent, values, shape, command));
-            sent++;
+            sender.accept(origin.vm(), new LeaseCommand(origin.leaseId(), sentCommands, sessionValues, shape, command));
+            sentCommands++;
         }
     }
 
@@ -64,7 +64,7 @@
     public void close() {
         if (!closed) {
             closed = true;
-            sender.accept(origin.vm(), new LeaseReturn(origin.lease()));
+            sender.accept(origin.vm(), new LeaseReturn(origin.leaseId()));
         }
     }
 
@@ -76,28 +76,30 @@
     }
 
     void replied(LeaseReply reply) {
-        if (reply.number() != answered) {
-            // An answer was lost with the link that carried it.
+        if (reply.sequence() != receivedReplies) {
+            // A reply was lost when the link between the VMs failed.
             close();
             listener.leaseEnded(LeaseEndReason.BROKEN);
             return;
         }
-        answered++;
+        receivedReplies++;
         listener.replied(reply.reply());
     }
 
-    /** The lender ended the lease or is lost; it is told all the same, in case it lives. */
+    /**
+     * The lender ended the lease or is considered lost. It is notified in both cases, because it may still be running.
+     */
     void ended(LeaseEndReason reason) {
         close();
         listener.leaseEnded(reason);
     }
 
     /**
-     * Where a connection comes from.
+     * Origin of a lent connection.
      *
      * @param vm name of the lender
      * @param endpointId the endpoint
-     * @param lease this VM's number of the lease
+     * @param leaseId identifier of the lease, chosen by this VM
      */
-    record Origin(String vm, String endpointId, long lease) {}
+    record Origin(String vm, String endpointId, long leaseId) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/peer/DefaultPeerLinks.java
@@ -20,10 +20,13 @@
 import org.hyssopswitch.peer.PeerTransport;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** Links over TCP with MessagePack messages. */
+/** Links to the other VMs over TCP, with messages encoded in MessagePack. */
 public final class DefaultPeerLinks implements PeerLinks {
 
-    /** VMs that a message for some is sent to: enough to find spare operations, and bounded in any fleet. */
+    /**
+     * Maximum number of recipients of a message to a subset of the VMs: enough to find unused tokens, and bounded in
+     * any fleet.
+     */
     private static final int MAX_RECIPIENTS = 8;
 
     private final DecisionLoop loop;
@@ -37,11 +40,11 @@
     /**
      * Binds the listener for other VMs.
      *
-     * @param options who this VM is
+     * @param options identity and address of this VM, and the limits of its links
      * @param loop the decision thread
      * @param random chooses recipients
-     * @param receiver takes messages with the sender's name, on the decision thread
-     * @param linkFailed told the name of a VM to which messages may have been lost, on the decision thread
+     * @param receiver receives messages with the name of the sender, on the decision thread
+     * @param linkFailed receives the name of a VM to which messages may have been lost, on the decision thread
      */
     public DefaultPeerLinks(
             PeerOptions options,
@@ -54,13 +57,13 @@
         this.receiver = receiver;
         this.linkFailed = linkFailed;
         GrizzlyPeerTransport bound = new GrizzlyPeerTransport(
-                options, registry(), new Inbound(), new MetricRegistry(), random, loop::nowMillis);
+                options, registry(), new InboundListener(), new MetricRegistry(), random, loop::nowMillis);
         this.transport = bound;
         this.self = bound.self();
     }
 
     /**
-     * Takes the list of VMs; the address of a later incarnation that has sent a message is kept.
+     * Updates the list of VMs. The address of a later incarnation that has sent a message is kept.
      *
      * @param listed the VMs, this one included
      */
@@ -83,12 +86,12 @@
 
     @Override
     public void sendToSubset(PeerMessage message) {
-        List<VmAddress> some = new ArrayList<>(addresses.values());
-        if (some.size() > MAX_RECIPIENTS) {
-            Collections.shuffle(some, random);
-            some = some.subList(0, MAX_RECIPIENTS);
+        List<VmAddress> recipients = new ArrayList<>(addresses.values());
+        if (recipients.size() > MAX_RECIPIENTS) {
+            Collections.shuffle(recipients, random);
+            recipients = recipients.subList(0, MAX_RECIPIENTS);
         }
-        some.forEach(to -> transport.send(to, message));
+        recipients.forEach(to -> transport.send(to, message));
     }
 
     @Override
@@ -118,7 +121,7 @@
                 .build();
     }
 
-    private final class Inbound implements PeerListener {
+    private final class InboundListener implements PeerListener {
 
         @Override
         public void messageReceived(VmAddress from, PeerMessage message) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/IsolationDetector.java
@@ -4,18 +4,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Tells whether this VM is cut off from the other data centres while callers still reach it.
+ * Detects that this VM is cut off from the other data centres while callers still reach it.
  *
- * <p>Answers a data centre that is cut off: its VMs can serve few statements, and callers that are sent to another data
- * centre are served. The loss of primaries alone is no sign, because the other VMs may have lost them too; it counts once
- * no VM of another data centre answers either.
+ * <p>VMs of a data centre that is cut off can serve few statements, whereas callers that are sent to another data
+ * centre are served. Unreachable primaries alone do not indicate isolation, because the other VMs may have lost them
+ * too; this VM is isolated only once no VM of another data centre answers either.
  */
 final class IsolationDetector {
 
-    /** Silence of the other data centres after which this VM counts as cut off, milliseconds: several lost pings. */
-    private static final long CONFIRM_MILLIS = 600;
+    /** Time without contact to other data centres after which this VM is isolated, milliseconds: several lost pings. */
+    private static final long CONFIRMATION_MILLIS = 600;
 
-    /** Period in which VMs of other data centres are asked for a sign of life, milliseconds. */
+    /** Period in which VMs of other data centres are pinged, milliseconds. */
     private static final long PING_PERIOD_MILLIS = 150;
 
     private static final Logger LOG = LogManager.getLogger(IsolationDetector.class);
@@ -23,44 +23,44 @@
     private final Runnable ping;
     private boolean suspected;
     private boolean isolated;
-    private long silentSinceMillis;
+    private long noContactSinceMillis;
     private long isolatedSinceMillis;
-    private long pingedMillis;
+    private long lastPingMillis;
 
     /**
-     * Creates a detector that sees no isolation.
+     * Creates a detector that reports no isolation.
      *
-     * @param ping asks some VMs of other data centres for a sign of life
+     * @param ping pings some VMs of other data centres
      * @param nowMillis milliseconds of the monotonic clock
      */
     IsolationDetector(Runnable ping, long nowMillis) {
         this.ping = ping;
-        this.pingedMillis = nowMillis;
+        this.lastPingMillis = nowMillis;
     }
 
-    /** A message of a VM of another data centre has arrived. */
+    /** Records a message from a VM of another data centre. */
     void remoteMessageReceived(long nowMillis) {
-        silentSinceMillis = nowMillis;
+        noContactSinceMillis = nowMillis;
     }
 
     /**
-     * Looks at the signs; called every few milliseconds.
+     * Updates the state; called every few milliseconds.
      *
-     * @param remotePrimariesLost whether there are primaries in other data centres and none of them can be reached
+     * @param remotePrimariesLost whether there are primaries in other data centres and none of them is reachable
      * @param nowMillis milliseconds of the monotonic clock
      */
     void tick(boolean remotePrimariesLost, long nowMillis) {
         if (remotePrimariesLost && !suspected) {
-            silentSinceMillis = nowMillis;
+            noContactSinceMillis = nowMillis;
         }
         suspected = remotePrimariesLost;
-        if (suspected && nowMillis - pingedMillis >= PING_PERIOD_MILLIS) {
-            pingedMillis = nowMillis;
+        if (suspected && nowMillis - lastPingMillis >= PING_PERIOD_MILLIS) {
+            lastPingMillis = nowMillis;
             ping.run();
         }
-        boolean cutOff = suspected && nowMillis - silentSinceMillis >= CONFIRM_MILLIS;
+        boolean cutOff = suspected && nowMillis - noContactSinceMillis >= CONFIRMATION_MILLIS;
         if (cutOff != isolated) {
-            LOG.warn("event=isolation_changed isolated={} silent_ms={}", cutOff, nowMillis - silentSinceMillis);
+            LOG.warn("event=isolation_changed isolated={} silent_ms={}", cutOff, nowMillis - noContactSinceMillis);
             isolatedSinceMillis = nowMillis;
         }
         isolated = cutOff;
@@ -70,7 +70,7 @@
         return isolated;
     }
 
-    /** Time since the VM was found to be cut off, milliseconds; 0 when it is not. */
+    /** Returns the time since the VM was found to be isolated, milliseconds; 0 when it is not. */
     long isolatedMillis(long nowMillis) {
         return isolated ? nowMillis - isolatedSinceMillis : 0;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/StoreSynchronizer.java
@@ -16,24 +16,31 @@
 import org.hyssopswitch.pool.peer.StoreSyncResponse;
 
 /**
- * Follows the store through relays, so that its calls do not grow with the fleet.
+ * Synchronises this VM with the store through relays, so that the calls to the store do not grow with the fleet.
  *
- * <p>A few VMs of each data centre watch the store; the others ask them for news, and watch the store themselves only
- * while no relay that is in touch with it answers. In a small fleet all VMs watch the store.
+ * <p>A few VMs of each data centre are store relays and watch the store. The others poll them for changes, and watch
+ * the store themselves only while no relay that is in contact with it answers. In a small fleet all VMs watch the
+ * store.
  */
 final class StoreSynchronizer {
 
-    /** Largest fleet in which all VMs watch the store. */
-    private static final int SMALL_FLEET = 8;
+    /** Maximum number of VMs in a fleet in which all VMs watch the store. */
+    private static final int MAX_VMS_WITHOUT_RELAYS = 8;
 
-    /** Relays of a data centre: one may fail unnoticed. */
-    private static final int RELAYS = 2;
+    /** Relays per data centre: one may fail without effect on the other VMs. */
+    private static final int RELAYS_PER_DATA_CENTRE = 2;
 
-    /** Period in which a relay is asked, milliseconds: a part of the seconds in which a change must be in force. */
-    private static final long ASK_PERIOD_MILLIS = 400;
+    /**
+     * Period in which a relay is polled, milliseconds: a fraction of the seconds within which a change must be in
+     * force.
+     */
+    private static final long SYNC_PERIOD_MILLIS = 400;
 
-    /** Time without an answer of a relay that is in touch with the store, after which a VM watches it, milliseconds. */
-    private static final long UNSERVED_MILLIS = 1_000;
+    /**
+     * Time without an answer from a relay in contact with the store after which a VM watches the store itself,
+     * milliseconds.
+     */
+    private static final long RELAY_TIMEOUT_MILLIS = 1_000;
 
     private static final Logger LOG = LogManager.getLogger(StoreSynchronizer.class);
 
@@ -44,66 +51,71 @@
     private List<String> relays = List.of();
     private boolean relay = true;
     private boolean watching = true;
-    private long askedMillis;
-    private long servedMillis;
-    private int turn;
+    private long lastRequestMillis;
+    private long lastServedMillis;
+    private int relayIndex;
 
     StoreSynchronizer(String self, StoreView view, PeerLinks peers, LongSupplier clock) {
         this.self = self;
         this.view = view;
         this.peers = peers;
         this.clock = clock;
-        this.askedMillis = clock.getAsLong();
-        this.servedMillis = askedMillis - UNSERVED_MILLIS;
+        this.lastRequestMillis = clock.getAsLong();
+        this.lastServedMillis = lastRequestMillis - RELAY_TIMEOUT_MILLIS;
     }
 
     void connect(PeerLinks links) {
         peers = links;
     }
 
-    /** Takes the data centre of each VM by its name. */
+    /** Updates the data centres of the VMs, by VM name, and chooses the relays. */
     void update(Map<String, String> dataCentres) {
         String own = dataCentres.get(self);
-        List<String> first = dataCentres.entrySet().stream()
+        List<String> elected = dataCentres.entrySet().stream()
                 .filter(vm -> vm.getValue().equals(own))
                 .map(Map.Entry::getKey)
                 .sorted(RendezvousUtils.byScore("relay", vm -> vm))
-                .limit(RELAYS)
+                .limit(RELAYS_PER_DATA_CENTRE)
                 .toList();
-        relay = dataCentres.size() <= SMALL_FLEET || first.contains(self);
-        relays = relay ? List.of() : first;
+        relay = dataCentres.size() <= MAX_VMS_WITHOUT_RELAYS || elected.contains(self);
+        relays = relay ? List.of() : elected;
     }
 
-    /** Whether this VM watches the store for others, or all VMs do. */
+    /** Returns whether this VM watches the store for others, or all VMs do. */
     boolean isRelay() {
         return relay;
     }
 
-    /** Asks a relay when it is time; called every few milliseconds. */
+    /** Polls a relay when due and starts or stops watching the store; called every few milliseconds. */
     void tick() {
         long now = clock.getAsLong();
-        if (!relays.isEmpty() && now - askedMillis >= ASK_PERIOD_MILLIS) {
-            askedMillis = now;
-            turn = (turn + 1) % relays.size();
-            peers.send(relays.get(turn), new StoreSyncRequest(view.catalog().version(), digest(view.endpoints())));
+        if (!relays.isEmpty() && now - lastRequestMillis >= SYNC_PERIOD_MILLIS) {
+            lastRequestMillis = now;
+            relayIndex = (relayIndex + 1) % relays.size();
+            peers.send(
+                    relays.get(relayIndex), new StoreSyncRequest(view.catalog().version(), digest(view.endpoints())));
         }
-        boolean needed = relay || now - servedMillis >= UNSERVED_MILLIS;
-        if (needed != watching) {
-            watching = needed;
-            LOG.info("event=store_followed itself={} relay={} unserved_ms={}", needed, relay, now - servedMillis);
-            view.setWatching(needed);
+        boolean shouldWatch = relay || now - lastServedMillis >= RELAY_TIMEOUT_MILLIS;
+        if (shouldWatch != watching) {
+            watching = shouldWatch;
+            LOG.info(
+                    "event=store_followed itself={} relay={} unserved_ms={}",
+                    shouldWatch,
+                    relay,
+                    now - lastServedMillis);
+            view.setWatching(shouldWatch);
         }
     }
 
     void received(String vm, PeerMessage message) {
         if (message instanceof StoreSyncRequest request) {
-            answer(vm, request);
-        } else if (message instanceof StoreSyncResponse answer) {
-            take(answer);
+            sendResponse(vm, request);
+        } else if (message instanceof StoreSyncResponse response) {
+            applyResponse(response);
         }
     }
 
-    private void answer(String vm, StoreSyncRequest request) {
+    private void sendResponse(String vm, StoreSyncRequest request) {
         Catalog catalog = view.catalog();
         Collection<Endpoint> endpoints = view.endpoints();
         boolean listed = view.endpointsRevision() >= 0;
@@ -116,15 +128,15 @@
                         Option.when(listed && digest(endpoints) != request.endpointsDigest(), List.copyOf(endpoints))));
     }
 
-    private void take(StoreSyncResponse answer) {
-        answer.catalog().forEach(view::applyCatalog);
-        answer.endpoints().forEach(all -> view.applyEndpoints(answer.endpointsRevision(), all));
-        if (answer.current()) {
-            servedMillis = clock.getAsLong();
+    private void applyResponse(StoreSyncResponse response) {
+        response.catalog().forEach(view::applyCatalog);
+        response.endpoints().forEach(all -> view.applyEndpoints(response.endpointsRevision(), all));
+        if (response.current()) {
+            lastServedMillis = clock.getAsLong();
         }
     }
 
-    /** The same for equal lists, whatever their order. */
+    /** Returns the same digest for equal lists, whatever their order. */
     private static long digest(Collection<Endpoint> endpoints) {
         return endpoints.stream()
                 .mapToLong(endpoint -> RendezvousUtils.score(endpoint.id(), Long.toString(endpoint.revision())))
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/vm/VmDependencies.java
@@ -12,10 +12,10 @@
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /**
- * How a VM reaches the outside.
+ * External dependencies of a VM.
  *
  * @param name name of the VM
- * @param self what it records about itself
+ * @param self entry of the VM in the store
  * @param loop the decision thread
  * @param timeOfDay milliseconds since the epoch, which may jump
  * @param random source of jitter
@@ -24,9 +24,9 @@
  * @param endpoints the listed endpoints
  * @param vms the VMs of the fleet
  * @param secrets the secret that the VMs of the fleet share
- * @param duties who may order promotions
- * @param authority orders promotions
- * @param decoder reads answers to status queries
+ * @param leadershipRecords the promotion leader
+ * @param promotionAuthority orders promotions
+ * @param statusDecoder decodes answers to status queries
  */
 public record VmDependencies(
         String name,
@@ -39,6 +39,6 @@
         ObjectTable<Endpoint> endpoints,
         ObjectTable<VmEntry> vms,
         ObjectTable<FleetSecret> secrets,
-        ObjectTable<LeadershipRecord> duties,
-        PromotionAuthority authority,
-        StatusDecoder decoder) {}
+        ObjectTable<LeadershipRecord> leadershipRecords,
+        PromotionAuthority promotionAuthority,
+        StatusDecoder statusDecoder) {}
