--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountLimiter.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountLimiter.java
@@ -25,26 +25,26 @@
 public final class AccountLimiter {
 
     /** Period in which spare operations are asked for, milliseconds: a fraction of a second's rate. */
-    private static final long ASK_PERIOD_MILLIS = 100;
+    private static final long TOKEN_REQUEST_PERIOD_MILLIS = 100;
 
     /** The same in a fleet of which only some VMs share a rate, milliseconds; what runs out is asked for at once. */
-    private static final long LARGE_FLEET_ASK_PERIOD_MILLIS = 500;
+    private static final long LARGE_FLEET_TOKEN_REQUEST_PERIOD_MILLIS = 500;
 
     /** Shortest time between two requests when operations run out, milliseconds. */
-    private static final long URGENT_PERIOD_MILLIS = 15;
+    private static final long MIN_URGENT_REQUEST_PERIOD_MILLIS = 15;
 
     /** VMs that share the rate of one client account; bounds messages and rounding in a fleet of any size. */
-    private static final int SHARING_VMS = 8;
+    private static final int MAX_SHARING_VMS = 8;
 
     /** What is asked for in all, as a multiple of what is missing: most VMs have little to spare. */
-    private static final double OVERASK = 2;
+    private static final double REQUEST_FACTOR = 2;
 
     private final LongSupplier clock;
     private final Map<String, AccountShare> shares = new HashMap<>();
     private PeerLinks peers;
     private boolean largeFleet;
-    private long askedMillis;
-    private long askedForWaitingMillis;
+    private long lastRequestMillis;
+    private long lastUrgentRequestMillis;
 
     /**
      * Creates a limiter that knows no account.
@@ -55,8 +55,8 @@
     public AccountLimiter(PeerLinks peers, LongSupplier clock) {
         this.peers = peers;
         this.clock = clock;
-        this.askedMillis = clock.getAsLong();
-        this.askedForWaitingMillis = askedMillis;
+        this.lastRequestMillis = clock.getAsLong();
+        this.lastUrgentRequestMillis = lastRequestMillis;
     }
 
     /**
@@ -68,7 +68,7 @@
      */
     public void update(Catalog catalog, String self, Collection<String> vms) {
         long now = clock.getAsLong();
-        largeFleet = vms.size() > SHARING_VMS;
+        largeFleet = vms.size() > MAX_SHARING_VMS;
         Map<String, Rate> limits = new HashMap<>();
         catalog.accounts().values().forEach(account -> account.limit()
                 .forEach(rate -> limits.put(account.name(), rate)));
@@ -76,13 +76,13 @@
         limits.forEach((name, rate) -> {
             List<String> sharing = vms.stream()
                     .sorted(RendezvousUtils.byScore(name, vm -> vm))
-                    .limit(SHARING_VMS)
+                    .limit(MAX_SHARING_VMS)
                     .toList();
-            int part = sharing.contains(self) ? sharing.size() : 0;
-            List<String> others =
+            int sharingVms = sharing.contains(self) ? sharing.size() : 0;
+            List<String> otherSharingVms =
                     sharing.stream().filter(vm -> !vm.equals(self)).toList();
             shares.computeIfAbsent(name, key -> new AccountShare((int) RendezvousUtils.score(name, self), now))
-                    .resize(rate, part, others, now);
+                    .resize(rate, sharingVms, otherSharingVms, now);
         });
     }
 
@@ -100,16 +100,16 @@
      *
      * @param account the client account
      * @param maxWaitMillis longest wait, milliseconds
-     * @param admission told the decision, possibly before this call returns
+     * @param listener told the decision, possibly before this call returns
      */
-    public void admit(Account account, long maxWaitMillis, Admission admission) {
+    public void admit(Account account, long maxWaitMillis, AdmissionListener listener) {
         AccountShare share = shares.get(account.name());
         long now = clock.getAsLong();
         if (share == null || share.tryTake(now)) {
-            admission.admitted();
+            listener.admitted();
             return;
         }
-        share.enqueueOrRefuse(admission, now, maxWaitMillis);
+        share.enqueueOrRefuse(listener, now, maxWaitMillis);
         requestTokensForWaiting(now);
     }
 
@@ -117,8 +117,9 @@
     public void tick() {
         long now = clock.getAsLong();
         shares.values().forEach(share -> share.processWaiting(now));
-        if (now - askedMillis >= (largeFleet ? LARGE_FLEET_ASK_PERIOD_MILLIS : ASK_PERIOD_MILLIS)) {
-            askedMillis = now;
+        if (now - lastRequestMillis
+                >= (largeFleet ? LARGE_FLEET_TOKEN_REQUEST_PERIOD_MILLIS : TOKEN_REQUEST_PERIOD_MILLIS)) {
+            lastRequestMillis = now;
             requestTokens(shares, now);
         } else {
             requestTokensForWaiting(now);
@@ -129,16 +130,16 @@
      * Gives another VM what this one will not need soon.
      *
      * @param vm name of the VM
-     * @param need what it asks for
+     * @param request what it asks for
      */
-    public void tokenRequestReceived(String vm, TokenRequest need) {
+    public void tokenRequestReceived(String vm, TokenRequest request) {
         long now = clock.getAsLong();
         Map<String, Double> tokens = new HashMap<>();
-        need.wanted().forEach((name, wanted) -> {
+        request.wanted().forEach((name, requested) -> {
             AccountShare share = shares.get(name);
-            double given = share == null ? 0 : share.withdrawUnused(wanted, now);
-            if (given > 0) {
-                tokens.put(name, given);
+            double withdrawn = share == null ? 0 : share.withdrawUnused(requested, now);
+            if (withdrawn > 0) {
+                tokens.put(name, withdrawn);
             }
         });
         if (!tokens.isEmpty()) {
@@ -149,11 +150,11 @@
     /**
      * Takes operations that another VM handed over.
      *
-     * @param gift the operations
+     * @param transfer the operations
      */
-    public void tokenTransferReceived(TokenTransfer gift) {
+    public void tokenTransferReceived(TokenTransfer transfer) {
         long now = clock.getAsLong();
-        gift.tokens().forEach((name, tokens) -> {
+        transfer.tokens().forEach((name, tokens) -> {
             AccountShare share = shares.get(name);
             if (share != null) {
                 share.deposit(tokens, now);
@@ -163,7 +164,7 @@
 
     /** Asks for what operations wait for. */
     private void requestTokensForWaiting(long now) {
-        if (now - askedForWaitingMillis < URGENT_PERIOD_MILLIS) {
+        if (now - lastUrgentRequestMillis < MIN_URGENT_REQUEST_PERIOD_MILLIS) {
             return;
         }
         Map<String, AccountShare> waiting = new HashMap<>();
@@ -173,28 +174,28 @@
             }
         });
         if (!waiting.isEmpty()) {
-            askedForWaitingMillis = now;
+            lastUrgentRequestMillis = now;
             requestTokens(waiting, now);
         }
     }
 
     /** Asks all that share an account's rate; in a large fleet one of them after the other. */
     private void requestTokens(Map<String, AccountShare> forShares, long now) {
-        Map<String, Map<String, Double>> wanted = new HashMap<>();
+        Map<String, Map<String, Double>> requested = new HashMap<>();
         forShares.forEach((name, share) -> {
             double missing = share.missingTokens(now);
             if (missing > 0) {
-                List<String> asked = largeFleet ? share.nextSharingVm().toJavaList() : share.otherSharingVms();
-                double each = missing * Math.min(asked.size(), OVERASK) / Math.max(1, asked.size());
-                asked.forEach(
-                        vm -> wanted.computeIfAbsent(vm, key -> new HashMap<>()).put(name, each));
+                List<String> targets = largeFleet ? share.nextSharingVm().toJavaList() : share.otherSharingVms();
+                double tokensPerVm = missing * Math.min(targets.size(), REQUEST_FACTOR) / Math.max(1, targets.size());
+                targets.forEach(vm ->
+                        requested.computeIfAbsent(vm, key -> new HashMap<>()).put(name, tokensPerVm));
             }
         });
-        wanted.forEach((vm, byAccount) -> peers.send(vm, new TokenRequest(byAccount)));
+        requested.forEach((vm, byAccount) -> peers.send(vm, new TokenRequest(byAccount)));
     }
 
     /** Takes the decision on one operation. */
-    public interface Admission {
+    public interface AdmissionListener {
 
         /** The operation may run. */
         void admitted();
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/AutocommitStatement.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/AutocommitStatement.java
@@ -23,8 +23,8 @@
 
     private final ExecutableStatement statement;
     private final long startedMillis;
-    private Option<PooledConnection> running = Option.none();
-    private long runningSinceMillis;
+    private Option<PooledConnection> currentConnection = Option.none();
+    private long attemptStartMillis;
     private int attempts;
     private boolean hedged;
     private boolean done;
@@ -42,19 +42,19 @@
             return;
         }
         attempts++;
-        running = Option.some(connection);
-        runningSinceMillis = session().nowMillis();
+        currentConnection = Option.some(connection);
+        attemptStartMillis = session().nowMillis();
         connection.applySession(session().values(), statement.shape());
         if (statement.write() || floor.isDefined()) {
-            connection.send(statement.command(floor), new Answer(connection, false));
+            connection.send(statement.command(floor), new StatementHandler(connection, false));
         } else {
-            connection.send(new EndpointCommand.Begin(false, Option.none()), new ProofAnswer(connection));
+            connection.send(new EndpointCommand.Begin(false, Option.none()), new PrimaryCheckHandler(connection));
         }
     }
 
     @Override
     public void refused(ErrorCode code, String reason) {
-        if (running.isEmpty()) {
+        if (currentConnection.isEmpty()) {
             fail(code, reason);
         }
     }
@@ -65,15 +65,15 @@
             return;
         }
         if (nowMillis - startedMillis >= route().timeoutMillis()) {
-            boolean sentWrite = statement.write() && running.isDefined();
-            Option<PooledConnection> broken = running;
+            boolean writeSent = statement.write() && currentConnection.isDefined();
+            Option<PooledConnection> unanswered = currentConnection;
             if (!done) {
                 fail(
-                        sentWrite ? ErrorCode.TIMEOUT : ErrorCode.OVERLOADED,
+                        writeSent ? ErrorCode.TIMEOUT : ErrorCode.OVERLOADED,
                         "no answer from endpoint " + endpointId() + " within the route's timeout");
             }
-            broken.forEach(PooledConnection::discard);
-        } else if (running.isDefined() && !statement.write() && !hedged) {
+            unanswered.forEach(PooledConnection::discard);
+        } else if (currentConnection.isDefined() && !statement.write() && !hedged) {
             hedge(nowMillis);
         }
     }
@@ -85,30 +85,30 @@
 
     /** Asks another endpoint while the first one may still answer. */
     private void hedge(long nowMillis) {
-        if (!primaryOnly() && nowMillis - runningSinceMillis > session().hedgeAfterMillis(route())) {
+        if (!primaryOnly() && nowMillis - attemptStartMillis > session().hedgeAfterMillis(route())) {
             hedged = true;
-            exclude(running.get().endpointId());
+            exclude(currentConnection.get().endpointId());
             submit();
         }
     }
 
     private void retryOrFail(ErrorCode code, String reason) {
-        boolean late = session().nowMillis() - startedMillis >= route().timeoutMillis();
+        boolean timedOut = session().nowMillis() - startedMillis >= route().timeoutMillis();
         if (done) {
             return;
         }
-        String tried = endpointId();
-        running = Option.none();
-        if (late || attempts >= MAX_ATTEMPTS) {
+        String failedEndpoint = endpointId();
+        currentConnection = Option.none();
+        if (timedOut || attempts >= MAX_ATTEMPTS) {
             fail(code, reason);
         } else {
-            session().logRetry(tried, code, attempts);
+            session().logRetry(failedEndpoint, code, attempts);
             submit();
         }
     }
 
     private String endpointId() {
-        return running.map(PooledConnection::endpointId).getOrElse("none");
+        return currentConnection.map(PooledConnection::endpointId).getOrElse("none");
     }
 
     private void fail(ErrorCode code, String reason) {
@@ -156,23 +156,23 @@
     }
 
     /** The answer to the statement itself. */
-    private final class Answer implements ReplyHandler {
+    private final class StatementHandler implements ReplyHandler {
 
         private final PooledConnection connection;
-        private final boolean proven;
+        private final boolean inOwnTransaction;
 
-        Answer(PooledConnection connection, boolean proven) {
+        StatementHandler(PooledConnection connection, boolean inOwnTransaction) {
             this.connection = connection;
-            this.proven = proven;
+            this.inOwnTransaction = inOwnTransaction;
         }
 
         @Override
         public void replied(Reply reply) {
-            if (proven) {
+            if (inOwnTransaction) {
                 connection.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
             }
             if (reply.succeeded() && statement.write()) {
-                reply.position().forEach(position -> connection.reportPrimary(runningSinceMillis, position));
+                reply.position().forEach(position -> connection.reportPrimary(attemptStartMillis, position));
             }
             if (reply.outcome() instanceof StatementOutcome.Failed error) {
                 handleError(connection, error.code(), error.text());
@@ -197,12 +197,12 @@
     }
 
     /** The answer to the start of the VM's own transaction around a read. */
-    private final class ProofAnswer implements ReplyHandler {
+    private final class PrimaryCheckHandler implements ReplyHandler {
 
         private final PooledConnection connection;
-        private final long askedMillis = session().nowMillis();
+        private final long sentMillis = session().nowMillis();
 
-        ProofAnswer(PooledConnection connection) {
+        PrimaryCheckHandler(PooledConnection connection) {
             this.connection = connection;
         }
 
@@ -213,8 +213,8 @@
                 handleError(connection, error.code(), error.text());
                 return;
             }
-            reply.position().forEach(position -> connection.reportPrimary(askedMillis, position));
-            connection.send(statement.command(Option.none()), new Answer(connection, true));
+            reply.position().forEach(position -> connection.reportPrimary(sentMillis, position));
+            connection.send(statement.command(Option.none()), new StatementHandler(connection, true));
         }
 
         @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
@@ -11,9 +11,9 @@
 abstract class CallerOperation implements ConnectionRequest {
 
     /** Part of the latency objective for which an operation waits when no endpoint could run it. */
-    private static final double UNSERVABLE_WAIT_PART = 0.2;
+    private static final double UNSERVABLE_WAIT_RATIO = 0.2;
 
-    private final Set<String> excluded = new HashSet<>();
+    private final Set<String> excludedEndpoints = new HashSet<>();
     private final CallerSession session;
     private final Route route;
     private final Account account;
@@ -59,12 +59,12 @@
 
     @Override
     public final long unavailableWaitMillis() {
-        return Math.round(route.objectiveMillis() * UNSERVABLE_WAIT_PART);
+        return Math.round(route.objectiveMillis() * UNSERVABLE_WAIT_RATIO);
     }
 
     @Override
     public final boolean excludes(String endpointId) {
-        return excluded.contains(endpointId);
+        return excludedEndpoints.contains(endpointId);
     }
 
     final CallerSession session() {
@@ -76,13 +76,13 @@
     }
 
     final void exclude(String endpointId) {
-        excluded.add(endpointId);
+        excludedEndpoints.add(endpointId);
     }
 
     /** Queues the operation for an endpoint; it is refused when none is assigned within its latency objective. */
     final void submit() {
-        long limit = Math.min(route.timeoutMillis(), route.objectiveMillis());
-        assignBeforeMillis = session.nowMillis() + limit;
+        long maxWaitMillis = Math.min(route.timeoutMillis(), route.objectiveMillis());
+        assignBeforeMillis = session.nowMillis() + maxWaitMillis;
         session.submit(this);
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerSession.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerSession.java
@@ -25,13 +25,13 @@
 public final class CallerSession {
 
     /** Time for which a new session waits for the first configuration, milliseconds: callers give up after 2 s. */
-    private static final long START_WAIT_MILLIS = 1_900;
+    private static final long CONFIGURATION_WAIT_MILLIS = 1_900;
 
     /** Statements that a caller may send ahead of their answers. */
-    private static final int MAX_PIPELINED = 64;
+    private static final int MAX_PIPELINED_STATEMENTS = 64;
 
     /** Part of the latency objective for which an operation waits when its client account is out of rate. */
-    private static final double RATE_WAIT_PART = 0.2;
+    private static final double MAX_RATE_WAIT_RATIO = 0.2;
 
     private final Sessions sessions;
     private final CallerLink link;
@@ -40,14 +40,14 @@
     private final Deque<Request> pipeline = new ArrayDeque<>();
     private String database = "";
     private String key = "";
-    private boolean starting;
-    private long startedMillis;
+    private boolean awaitingConfiguration;
+    private long awaitingSinceMillis;
     private boolean open;
     private boolean closed;
-    private boolean busy;
-    private long requestSinceMillis;
-    private Option<Request> request = Option.none();
-    private Option<AutocommitStatement> single = Option.none();
+    private boolean statementRunning;
+    private long requestStartMillis;
+    private Option<Request> currentRequest = Option.none();
+    private Option<AutocommitStatement> autocommit = Option.none();
     private Option<CallerTransaction> transaction = Option.none();
     private LogPosition floor = LogPosition.ZERO;
 
@@ -68,14 +68,14 @@
         if (sessions.hasConfiguration()) {
             openOrRefuse();
         } else {
-            startedMillis = nowMillis();
-            starting = true;
+            awaitingSinceMillis = nowMillis();
+            awaitingConfiguration = true;
         }
     }
 
     /** Opens or refuses the session under the configuration in force. */
     void openOrRefuse() {
-        starting = false;
+        awaitingConfiguration = false;
         Either<ErrorCode, Authorization> authorization = authorize();
         if (open || authorization.isLeft()) {
             ErrorCode code = open ? ErrorCode.MALFORMED : authorization.getLeft();
@@ -103,7 +103,7 @@
         if (closed) {
             return;
         }
-        if (!open || pipeline.size() >= MAX_PIPELINED) {
+        if (!open || pipeline.size() >= MAX_PIPELINED_STATEMENTS) {
             close();
             return;
         }
@@ -115,7 +115,7 @@
     public void disconnected() {
         if (!closed) {
             closed = true;
-            single.forEach(AutocommitStatement::abandon);
+            autocommit.forEach(AutocommitStatement::abandon);
             transaction.forEach(CallerTransaction::abandon);
             sessions.remove(this);
         }
@@ -129,24 +129,24 @@
 
     /** Whether the caller waits for nothing and is outside a transaction. */
     boolean isIdle() {
-        return !busy && !starting && transaction.isEmpty();
+        return !statementRunning && !awaitingConfiguration && transaction.isEmpty();
     }
 
     /** Ends an open transaction whose caller is between two statements. */
     void abortIdleTransaction(String cause) {
-        if (!busy) {
-            transaction.forEach(open -> open.abort(cause));
+        if (!statementRunning) {
+            transaction.forEach(running -> running.abort(cause));
         }
     }
 
     void tick(long nowMillis) {
-        if (starting && sessions.hasConfiguration()) {
+        if (awaitingConfiguration && sessions.hasConfiguration()) {
             openOrRefuse();
-        } else if (starting && nowMillis - startedMillis > START_WAIT_MILLIS) {
+        } else if (awaitingConfiguration && nowMillis - awaitingSinceMillis > CONFIGURATION_WAIT_MILLIS) {
             close();
         }
-        single.forEach(statement -> statement.tick(nowMillis));
-        transaction.forEach(open -> open.tick(nowMillis));
+        autocommit.forEach(statement -> statement.tick(nowMillis));
+        transaction.forEach(running -> running.tick(nowMillis));
     }
 
     long nowMillis() {
@@ -179,7 +179,7 @@
 
     /** Logs that the current statement is tried again. */
     void logRetry(String endpointId, ErrorCode code, int attempt) {
-        request.forEach(current -> sessions.log().requestRetried(current.id(), endpointId, code, attempt));
+        currentRequest.forEach(running -> sessions.log().requestRetried(running.id(), endpointId, code, attempt));
     }
 
     void clearTransaction() {
@@ -197,10 +197,10 @@
     }
 
     private void sendReply(Reply reply) {
-        single = Option.none();
-        busy = false;
-        long took = nowMillis() - requestSinceMillis;
-        request.forEach(ended -> {
+        autocommit = Option.none();
+        statementRunning = false;
+        long tookMillis = nowMillis() - requestStartMillis;
+        currentRequest.forEach(ended -> {
             Option<Authorization> known = authorize().toOption();
             String account =
                     known.map(authorization -> authorization.account().name()).getOrElse("unknown");
@@ -212,10 +212,10 @@
                                     account,
                                     sessions.catalog().version()),
                             reply,
-                            took);
-            sessions.metrics().recordRequest(known, reply, took);
+                            tookMillis);
+            sessions.metrics().recordRequest(known, reply, tookMillis);
         });
-        request = Option.none();
+        currentRequest = Option.none();
         if (!closed) {
             link.reply(reply);
             runNext();
@@ -224,23 +224,23 @@
 
     private TransactionStatus status() {
         return transaction
-                .map(open -> open.isFailed() ? TransactionStatus.FAILED : TransactionStatus.OPEN)
+                .map(running -> running.isFailed() ? TransactionStatus.FAILED : TransactionStatus.OPEN)
                 .getOrElse(TransactionStatus.IDLE);
     }
 
     private void runNext() {
-        if (busy || closed || pipeline.isEmpty()) {
+        if (statementRunning || closed || pipeline.isEmpty()) {
             return;
         }
-        Request following = pipeline.removeFirst();
-        busy = true;
-        requestSinceMillis = nowMillis();
-        request = Option.some(following);
-        dispatch(following);
+        Request next = pipeline.removeFirst();
+        statementRunning = true;
+        requestStartMillis = nowMillis();
+        currentRequest = Option.some(next);
+        dispatch(next);
     }
 
-    private void dispatch(Request following) {
-        CallerStatement statement = following.statement();
+    private void dispatch(Request next) {
+        CallerStatement statement = next.statement();
         if (transaction.exists(CallerTransaction::isFailed) && !endsTransaction(statement)) {
             Option<String> cause = transaction.get().takeAbortCause();
             fail(
@@ -249,7 +249,7 @@
         } else if (statement instanceof CallerStatement.Begin begin) {
             begin(begin);
         } else if (statement instanceof CallerStatement.Commit commit) {
-            commit(following.id(), commit);
+            commit(next.id(), commit);
         } else if (statement instanceof CallerStatement.Rollback) {
             transaction.filter(running -> !running.isFailed()).forEach(CallerTransaction::rollback);
             transaction = Option.none();
@@ -266,7 +266,7 @@
         } else if (statement instanceof CallerStatement.Malformed malformed) {
             fail(ErrorCode.MALFORMED, malformed.reason());
         } else {
-            toExecutable(following.id(), statement)
+            toExecutable(next.id(), statement)
                     .peek(this::execute)
                     .peekLeft(reason -> fail(ErrorCode.STATEMENT_UNKNOWN, reason));
         }
@@ -320,22 +320,22 @@
             return;
         }
         admit(authorization -> {
-            single = Option.some(new AutocommitStatement(this, authorization, statement));
-            single.get().submit();
+            autocommit = Option.some(new AutocommitStatement(this, authorization, statement));
+            autocommit.get().submit();
         });
     }
 
     /** Ends the open transaction when the caller's key has been withdrawn. */
     private boolean checkKey() {
         Catalog catalog = sessions.catalog();
-        boolean holds = catalog.findAccount(key).isDefined()
+        boolean valid = catalog.findAccount(key).isDefined()
                 || catalog.findRoute(database).exists(Route::open)
-                || transaction.exists(open -> open.route().open());
-        if (!holds) {
+                || transaction.exists(running -> running.route().open());
+        if (!valid) {
             transaction.get().rollback();
             fail(ErrorCode.KEY_UNKNOWN, "the key has been withdrawn");
         }
-        return holds;
+        return valid;
     }
 
     /** Checks route, key and rate for a new operation; answers the statement when it is refused. */
@@ -347,8 +347,12 @@
                     "refused under configuration " + sessions.catalog().version());
             return;
         }
-        long wait = Math.round(authorization.get().route().objectiveMillis() * RATE_WAIT_PART);
-        sessions.limiter().admit(authorization.get().account(), wait, new RateAdmission(authorization.get(), start));
+        long maxWaitMillis = Math.round(authorization.get().route().objectiveMillis() * MAX_RATE_WAIT_RATIO);
+        sessions.limiter()
+                .admit(
+                        authorization.get().account(),
+                        maxWaitMillis,
+                        new RateAdmissionListener(authorization.get(), start));
     }
 
     private Either<ErrorCode, Authorization> authorize() {
@@ -371,12 +375,12 @@
         completeStatement(new StatementOutcome.Failed(code, reason), Option.none());
     }
 
-    private final class RateAdmission implements AccountLimiter.Admission {
+    private final class RateAdmissionListener implements AccountLimiter.AdmissionListener {
 
         private final Authorization authorization;
         private final Consumer<Authorization> start;
 
-        RateAdmission(Authorization authorization, Consumer<Authorization> start) {
+        RateAdmissionListener(Authorization authorization, Consumer<Authorization> start) {
             this.authorization = authorization;
             this.start = start;
         }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerTransaction.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerTransaction.java
@@ -22,14 +22,14 @@
     private static final int MAX_ATTEMPTS = 4;
 
     private Option<PooledConnection> connection = Option.none();
-    private Option<ExecutableStatement> current = Option.none();
+    private Option<ExecutableStatement> currentStatement = Option.none();
     private boolean committing;
-    private boolean settled;
-    private boolean wrote;
+    private boolean statementSucceeded;
+    private boolean hasWritten;
     private boolean ended;
     private Option<String> abortCause = Option.none();
     private int attempts;
-    private long statementSinceMillis;
+    private long statementStartMillis;
     private long idleSinceMillis;
 
     CallerTransaction(CallerSession session, Authorization authorization, boolean readOnly) {
@@ -50,11 +50,11 @@
     }
 
     void execute(ExecutableStatement statement) {
-        current = Option.some(statement);
-        statementSinceMillis = session().nowMillis();
+        currentStatement = Option.some(statement);
+        statementStartMillis = session().nowMillis();
         if (connection.isDefined()) {
             connection.get().applySession(session().values(), statement.shape());
-            connection.get().send(statement.command(Option.none()), new StatementAnswer(connection.get()));
+            connection.get().send(statement.command(Option.none()), new StatementHandler(connection.get()));
         } else {
             submit();
         }
@@ -83,9 +83,9 @@
         }
         attempts++;
         connection = Option.some(assigned);
-        assigned.applySession(session().values(), current.get().shape());
-        boolean proof = floor.isEmpty();
-        assigned.send(new EndpointCommand.Begin(!proof, floor), new BeginAnswer(assigned, proof));
+        assigned.applySession(session().values(), currentStatement.get().shape());
+        boolean primaryCheck = floor.isEmpty();
+        assigned.send(new EndpointCommand.Begin(!primaryCheck, floor), new BeginHandler(assigned, primaryCheck));
     }
 
     @Override
@@ -100,12 +100,12 @@
         if (ended) {
             return;
         }
-        if (current.isDefined() && nowMillis - statementSinceMillis >= route().timeoutMillis()) {
-            boolean unknown = committing && connection.isDefined() && wrote;
+        if (currentStatement.isDefined() && nowMillis - statementStartMillis >= route().timeoutMillis()) {
+            boolean outcomeUnknown = committing && connection.isDefined() && hasWritten;
             fail(
-                    unknown ? ErrorCode.TIMEOUT : ErrorCode.ABORTED,
+                    outcomeUnknown ? ErrorCode.TIMEOUT : ErrorCode.ABORTED,
                     "no answer from endpoint " + endpointId() + " within the route's timeout");
-        } else if (current.isEmpty()
+        } else if (currentStatement.isEmpty()
                 && connection.isDefined()
                 && nowMillis - idleSinceMillis >= session().transactionIdleMillis()) {
             abort("the transaction was idle for too long");
@@ -131,7 +131,7 @@
     private void fail(ErrorCode code, String reason) {
         boolean commit = committing;
         ended = true;
-        current = Option.none();
+        currentStatement = Option.none();
         connection.forEach(PooledConnection::discard);
         connection = Option.none();
         if (commit) {
@@ -145,21 +145,21 @@
     }
 
     private void retryOrFail(ErrorCode code, String reason) {
-        String tried = endpointId();
+        String failedEndpoint = endpointId();
         connection = Option.none();
-        boolean late = session().nowMillis() - statementSinceMillis >= route().timeoutMillis();
-        if (late || attempts >= MAX_ATTEMPTS) {
+        boolean timedOut = session().nowMillis() - statementStartMillis >= route().timeoutMillis();
+        if (timedOut || attempts >= MAX_ATTEMPTS) {
             fail(ErrorCode.ABORTED, reason + " (" + code + ")");
         } else {
-            session().logRetry(tried, code, attempts);
+            session().logRetry(failedEndpoint, code, attempts);
             submit();
         }
     }
 
     private void statementCompleted(Reply reply) {
-        current = Option.none();
+        currentStatement = Option.none();
         idleSinceMillis = session().nowMillis();
-        settled = true;
+        statementSucceeded = true;
         if (committing) {
             commitCompleted(reply);
         }
@@ -168,7 +168,7 @@
 
     private void commitCompleted(Reply reply) {
         ended = true;
-        if (wrote) {
+        if (hasWritten) {
             reply.position().forEach(session()::raiseFloor);
         }
         connection.forEach(PooledConnection::release);
@@ -177,33 +177,34 @@
     }
 
     /** Decides on an error that the endpoint reported for a statement. */
-    private void handleStatementError(PooledConnection on, StatementOutcome.Failed error) {
-        boolean movable = !settled && current.exists(statement -> !statement.write() || wasNotExecuted(error.code()));
+    private void handleStatementError(PooledConnection pooled, StatementOutcome.Failed error) {
+        boolean retryable = !statementSucceeded
+                && currentStatement.exists(statement -> !statement.write() || wasNotExecuted(error.code()));
         if (error.code() == ErrorCode.READ_ONLY && primaryOnly()) {
-            on.reportNotPrimary();
+            pooled.reportNotPrimary();
         }
         if (error.code() == ErrorCode.STATEMENT_UNKNOWN) {
-            on.clearPrepared();
+            pooled.clearPrepared();
         }
-        if (movable && wasNotExecuted(error.code())) {
-            on.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
-            on.release();
-            exclude(on.endpointId());
+        if (retryable && wasNotExecuted(error.code())) {
+            pooled.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
+            pooled.release();
+            exclude(pooled.endpointId());
             retryOrFail(error.code(), error.text());
             return;
         }
-        failAndRollBack(on, error);
+        failAndRollBack(pooled, error);
     }
 
-    private void failAndRollBack(PooledConnection on, StatementOutcome.Failed error) {
+    private void failAndRollBack(PooledConnection pooled, StatementOutcome.Failed error) {
         ended = true;
-        current = Option.none();
+        currentStatement = Option.none();
         connection = Option.none();
         if (committing) {
             session().clearTransaction();
         }
-        on.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
-        on.release();
+        pooled.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
+        pooled.release();
         session().completeStatement(error, Option.none());
     }
 
@@ -215,15 +216,15 @@
     }
 
     /** The answer to the start of the transaction at the endpoint. */
-    private final class BeginAnswer implements ReplyHandler {
+    private final class BeginHandler implements ReplyHandler {
 
-        private final PooledConnection on;
-        private final boolean proof;
-        private final long askedMillis = session().nowMillis();
+        private final PooledConnection pooled;
+        private final boolean primaryCheck;
+        private final long sentMillis = session().nowMillis();
 
-        BeginAnswer(PooledConnection on, boolean proof) {
-            this.on = on;
-            this.proof = proof;
+        BeginHandler(PooledConnection pooled, boolean primaryCheck) {
+            this.pooled = pooled;
+            this.primaryCheck = primaryCheck;
         }
 
         @Override
@@ -232,19 +233,19 @@
                 return;
             }
             if (reply.outcome() instanceof StatementOutcome.Failed error) {
-                if (proof && error.code() == ErrorCode.READ_ONLY) {
-                    on.reportNotPrimary();
+                if (primaryCheck && error.code() == ErrorCode.READ_ONLY) {
+                    pooled.reportNotPrimary();
                 } else {
-                    exclude(on.endpointId());
+                    exclude(pooled.endpointId());
                 }
-                on.release();
+                pooled.release();
                 retryOrFail(error.code(), error.text());
                 return;
             }
-            if (proof) {
-                reply.position().forEach(position -> on.reportPrimary(askedMillis, position));
+            if (primaryCheck) {
+                reply.position().forEach(position -> pooled.reportPrimary(sentMillis, position));
             }
-            on.send(current.get().command(Option.none()), new StatementAnswer(on));
+            pooled.send(currentStatement.get().command(Option.none()), new StatementHandler(pooled));
         }
 
         @Override
@@ -256,13 +257,13 @@
     }
 
     /** The answer to a statement of the caller. */
-    private final class StatementAnswer implements ReplyHandler {
+    private final class StatementHandler implements ReplyHandler {
 
-        private final PooledConnection on;
+        private final PooledConnection pooled;
 
-        StatementAnswer(PooledConnection on) {
-            this.on = on;
-            wrote |= current.exists(ExecutableStatement::write);
+        StatementHandler(PooledConnection pooled) {
+            this.pooled = pooled;
+            hasWritten |= currentStatement.exists(ExecutableStatement::write);
         }
 
         @Override
@@ -271,7 +272,7 @@
                 return;
             }
             if (reply.outcome() instanceof StatementOutcome.Failed error) {
-                handleStatementError(on, error);
+                handleStatementError(pooled, error);
             } else if (!committing && reply.status() != TransactionStatus.OPEN) {
                 fail(ErrorCode.ABORTED, "the endpoint ended the transaction");
             } else {
@@ -282,10 +283,10 @@
         @Override
         public void connectionLost() {
             if (!ended) {
-                boolean unknown = committing && wrote;
+                boolean outcomeUnknown = committing && hasWritten;
                 fail(
-                        unknown ? ErrorCode.IN_DOUBT : ErrorCode.ABORTED,
-                        "the connection to endpoint " + on.endpointId() + " broke");
+                        outcomeUnknown ? ErrorCode.IN_DOUBT : ErrorCode.ABORTED,
+                        "the connection to endpoint " + pooled.endpointId() + " broke");
             }
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestLog.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestLog.java
@@ -13,12 +13,12 @@
     /** Lines a second; what lies beyond is counted and reported by the next line. */
     private static final int MAX_LINES_PER_SECOND = 50;
 
-    private static final long SECOND_MILLIS = 1_000;
+    private static final long WINDOW_MILLIS = 1_000;
     private static final Logger LOG = LogManager.getLogger(RequestLog.class);
 
     private final LongSupplier clock;
-    private long secondStartMillis;
-    private int lines;
+    private long windowStartMillis;
+    private int linesInWindow;
     private long suppressed;
 
     /**
@@ -28,7 +28,7 @@
      */
     public RequestLog(LongSupplier clock) {
         this.clock = clock;
-        this.secondStartMillis = clock.getAsLong();
+        this.windowStartMillis = clock.getAsLong();
     }
 
     void sessionRefused(String database, ErrorCode code, long version) {
@@ -67,12 +67,12 @@
 
     private boolean acquireLine() {
         long now = clock.getAsLong();
-        if (now - secondStartMillis >= SECOND_MILLIS) {
-            secondStartMillis = now;
-            lines = 0;
+        if (now - windowStartMillis >= WINDOW_MILLIS) {
+            windowStartMillis = now;
+            linesInWindow = 0;
         }
-        boolean permitted = lines < MAX_LINES_PER_SECOND;
-        lines++;
+        boolean permitted = linesInWindow < MAX_LINES_PER_SECOND;
+        linesInWindow++;
         if (!permitted) {
             suppressed++;
         }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestMetrics.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestMetrics.java
@@ -28,13 +28,13 @@
     void recordRequest(Option<Authorization> authorization, Reply reply, long tookMillis) {
         String outcome = reply.error().map(ErrorCode::name).getOrElse("OK");
         registry.counter("requests." + outcome).inc();
-        authorization.forEach(known -> latencyHistogram(known).update(tookMillis));
+        authorization.forEach(authorized -> latencyHistogram(authorized).update(tookMillis));
     }
 
-    private Histogram latencyHistogram(Authorization known) {
-        Route route = known.route();
+    private Histogram latencyHistogram(Authorization authorized) {
+        Route route = authorized.route();
         return registry.histogram(
-                "latency_ms." + known.account().name() + "." + route.consistency(),
+                "latency_ms." + authorized.account().name() + "." + route.consistency(),
                 () -> new Histogram(new UniformReservoir(RESERVOIR_VALUES)));
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
@@ -14,14 +14,14 @@
 public final class Sessions {
 
     /** Time without an answer after which a read is also sent to another endpoint, as a part of its objective. */
-    private static final double HEDGE_PART_OF_OBJECTIVE = 0.5;
+    private static final double HEDGE_DELAY_RATIO = 0.5;
 
     private final DatabaseGroups groups;
     private final AccountLimiter limiter;
     private final RequestLog log;
     private final RequestMetrics metrics;
     private final LongSupplier clock;
-    private final Set<CallerSession> open = new LinkedHashSet<>();
+    private final Set<CallerSession> openSessions = new LinkedHashSet<>();
     private Catalog catalog = Catalog.EMPTY;
 
     /**
@@ -49,7 +49,7 @@
      */
     public CallerSession accept(CallerLink link) {
         CallerSession session = new CallerSession(this, link);
-        open.add(session);
+        openSessions.add(session);
         return session;
     }
 
@@ -65,13 +65,13 @@
 
     /** Number of open sessions. */
     public int size() {
-        return open.size();
+        return openSessions.size();
     }
 
     /** Ends what has run too long; called every few milliseconds. */
     public void tick() {
         long now = nowMillis();
-        List.copyOf(open).forEach(session -> session.tick(now));
+        List.copyOf(openSessions).forEach(session -> session.tick(now));
     }
 
     /**
@@ -80,7 +80,10 @@
      * @param limit the greatest number to close
      */
     public void closeIdle(int limit) {
-        List.copyOf(open).stream().filter(CallerSession::isIdle).limit(limit).forEach(CallerSession::close);
+        List.copyOf(openSessions).stream()
+                .filter(CallerSession::isIdle)
+                .limit(limit)
+                .forEach(CallerSession::close);
     }
 
     /**
@@ -89,7 +92,7 @@
      * @param cause why, for the callers
      */
     public void abortIdleTransactions(String cause) {
-        List.copyOf(open).forEach(session -> session.abortIdleTransaction(cause));
+        List.copyOf(openSessions).forEach(session -> session.abortIdleTransaction(cause));
     }
 
     /** Whether a configuration is in force. */
@@ -118,7 +121,7 @@
     }
 
     long hedgeAfterMillis(Route route) {
-        return Math.round(route.objectiveMillis() * HEDGE_PART_OF_OBJECTIVE);
+        return Math.round(route.objectiveMillis() * HEDGE_DELAY_RATIO);
     }
 
     void submit(CallerOperation operation) {
@@ -132,6 +135,6 @@
     }
 
     void remove(CallerSession session) {
-        open.remove(session);
+        openSessions.remove(session);
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/ObjectTable.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/ObjectTable.java
@@ -14,19 +14,19 @@
     /**
      * Reads all objects.
      *
-     * @param stale whether the result may be seconds old, which costs less
+     * @param allowStale whether the result may be seconds old, which costs less
      * @param done takes the result
      */
-    void list(boolean stale, Consumer<Either<StoreFailure, Listing<T>>> done);
+    void list(boolean allowStale, Consumer<Either<StoreFailure, Listing<T>>> done);
 
     /**
      * Waits for changes.
      *
      * @param revision only changes after this revision of the store are returned
-     * @param waitMillis longest wait, milliseconds; the result is empty when nothing changed
+     * @param maxWaitMillis longest wait, milliseconds; the result is empty when nothing changed
      * @param done takes the changed objects
      */
-    void watch(long revision, long waitMillis, Consumer<Either<StoreFailure, Listing<T>>> done);
+    void watch(long revision, long maxWaitMillis, Consumer<Either<StoreFailure, Listing<T>>> done);
 
     /**
      * Reads one object.
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
@@ -16,9 +16,9 @@
 public final class TableWatcher<T> {
 
     /** Bounds of the pause after a failed call, milliseconds: the store's outages last seconds. */
-    private static final long MIN_PAUSE_MILLIS = 100;
+    private static final long MIN_RETRY_DELAY_MILLIS = 100;
 
-    private static final long MAX_PAUSE_MILLIS = 800;
+    private static final long MAX_RETRY_DELAY_MILLIS = 800;
     private static final Logger LOG = LogManager.getLogger(TableWatcher.class);
 
     private final String name;
@@ -27,11 +27,11 @@
     private final DecisionLoop loop;
     private final LongSupplier clock;
     private final Backoff backoff;
-    private final long waitMillis;
+    private final long maxWaitMillis;
     private long revision = -1;
     private boolean paused;
     private boolean watching;
-    private int failures;
+    private int consecutiveFailures;
     private long failedSinceMillis;
 
     /**
@@ -40,7 +40,7 @@
      * @param name what is watched, for logs
      * @param table the objects
      * @param listener takes what is read
-     * @param waitMillis longest wait of one watch, milliseconds; an answer that is lost delays changes by as much
+     * @param maxWaitMillis longest wait of one watch, milliseconds; an answer that is lost delays changes by as much
      * @param loop the decision thread
      * @param random source of the backoff's jitter
      */
@@ -48,16 +48,16 @@
             String name,
             ObjectTable<T> table,
             Listener<T> listener,
-            long waitMillis,
+            long maxWaitMillis,
             DecisionLoop loop,
             RandomGenerator random) {
         this.name = name;
         this.table = table;
         this.listener = listener;
-        this.waitMillis = waitMillis;
+        this.maxWaitMillis = maxWaitMillis;
         this.loop = loop;
         this.clock = loop::nowMillis;
-        this.backoff = new Backoff(MIN_PAUSE_MILLIS, MAX_PAUSE_MILLIS, random);
+        this.backoff = new Backoff(MIN_RETRY_DELAY_MILLIS, MAX_RETRY_DELAY_MILLIS, random);
     }
 
     /** Starts to follow the objects. */
@@ -80,7 +80,7 @@
 
     /** Whether the store answered the latest call. */
     public boolean isCurrent() {
-        return revision >= 0 && failures == 0;
+        return revision >= 0 && consecutiveFailures == 0;
     }
 
     private void list() {
@@ -103,7 +103,7 @@
         if (paused) {
             return;
         }
-        table.watch(revision, waitMillis, this::handleWatchResult);
+        table.watch(revision, maxWaitMillis, this::handleWatchResult);
     }
 
     private void handleWatchResult(Either<StoreFailure, Listing<T>> result) {
@@ -123,24 +123,24 @@
     }
 
     private void callSucceeded() {
-        if (failures > 0) {
+        if (consecutiveFailures > 0) {
             LOG.info(
                     "event=store_regained table={} failures={} away_ms={}",
                     name,
-                    failures,
+                    consecutiveFailures,
                     clock.getAsLong() - failedSinceMillis);
-            failures = 0;
+            consecutiveFailures = 0;
             listener.storeRecovered();
         }
     }
 
-    private void retry(StoreFailure failure, Runnable again) {
-        if (failures == 0) {
+    private void retry(StoreFailure failure, Runnable call) {
+        if (consecutiveFailures == 0) {
             failedSinceMillis = clock.getAsLong();
             LOG.warn("event=store_lost table={} cause=\"{}\"", name, failure.describe());
         }
-        failures++;
-        loop.schedule(backoff.delayMillis(failures), again);
+        consecutiveFailures++;
+        loop.schedule(backoff.delayMillis(consecutiveFailures), call);
     }
 
     /**
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/ConnectionUseTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/ConnectionUseTests.java
@@ -42,7 +42,7 @@
         configureAccounts();
         List<FakeCaller> callers = new ArrayList<>();
         for (int i = 0; i < ACCOUNTS; i++) {
-            FakeCaller caller = new FakeCaller(pool.sessions(), TestPool.OWN, "key-" + i);
+            FakeCaller caller = new FakeCaller(pool.sessions(), TestPool.READ_YOUR_WRITES, "key-" + i);
             caller.send("b", new CallerStatement.Begin(false));
             caller.write("w" + i);
             callers.add(caller);
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PrefetchTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PrefetchTests.java
@@ -35,7 +35,7 @@
 
     @Test
     void opensAConnectionWhileTheCallerReadsTheAnswerToBegin() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         pool.advance(100);
         caller.send("b", new CallerStatement.Begin(false));
         pool.advance(ROUND_TRIP_MILLIS);
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/quota/AccountLimiterTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/quota/AccountLimiterTests.java
@@ -32,12 +32,12 @@
     private final ManualLoop loop = new ManualLoop();
     private final List<AccountLimiter> fleet = new ArrayList<>();
     private final Random random = new Random(3);
-    private double lostPart;
+    private double messageLossRate;
     private Account account = new Account("school", Option.some(new Rate(RATE, BURST)));
     private int vms = 6;
     private int admitted;
     private int refused;
-    private int sent;
+    private int sentMessages;
 
     @Test
     void admitsAnAccountWithinItsRateWhoseCallersAreAllAtOneVm() {
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void holdsTheRateOfAnAccountThatSendsEightTimesAsMuch() {
+    void enforcesTheRateOfAnAccountThatSendsEightTimesAsMuch() {
         start();
         run(vm -> 8 * RATE / vms, RUN_MILLIS);
         double seconds = RUN_MILLIS / 1_000.0;
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void holdsTheRateOfASmallAccountThatSendsFiveTimesAsMuchFromUnevenlySpreadCallers() {
+    void enforcesTheRateOfASmallAccountThatSendsFiveTimesAsMuchFromUnevenlySpreadCallers() {
         account = new Account("small", Option.some(new Rate(12, 12)));
         start();
         run(vm -> vm < 2 ? 24.0 : 3.0, RUN_MILLIS);
@@ -75,15 +75,15 @@
     }
 
     @Test
-    void holdsTheRateWhenMessagesAreLost() {
-        lostPart = 0.5;
+    void enforcesTheRateWhenMessagesAreLost() {
+        messageLossRate = 0.5;
         start();
         run(vm -> vm < 2 ? 4 * RATE : 1.0, RUN_MILLIS);
         assertTrue(admitted <= RATE * RUN_MILLIS / 1_000 + BURST, admitted + " admitted");
     }
 
     @Test
-    void holdsTheRateOfALargeFleetWhereEachVmsShareIsLessThanOneOperation() {
+    void enforcesTheRateInALargeFleetWhereEachVmsShareIsLessThanOneOperation() {
         vms = 69;
         start();
         run(vm -> 0.0, 5_000);
@@ -105,15 +105,15 @@
         vms = 69;
         start();
         run(vm -> 0.0, 3_000);
-        sent = 0;
+        sentMessages = 0;
         run(vm -> 0.6 * RATE / vms, RUN_MILLIS);
         int asked = admitted + refused;
         assertTrue(refused <= 0.02 * asked, refused + " of " + asked + " refused");
-        assertTrue(sent <= 6 * asked, sent + " messages for " + asked + " operations");
+        assertTrue(sentMessages <= 6 * asked, sentMessages + " messages for " + asked + " operations");
     }
 
     @Test
-    void refusesAtOnceWhatTheWholeRateCannotAdmitInTheWait() {
+    void refusesAtOnceOperationsThatTheFleetRateCannotAdmitWithinTheWait() {
         start();
         loop.advance(200);
         for (int i = 0; i < 500; i++) {
@@ -153,7 +153,7 @@
     }
 
     private void admit(int vm) {
-        fleet.get(vm).admit(account, 40, new AccountLimiter.Admission() {
+        fleet.get(vm).admit(account, 40, new AccountLimiter.AdmissionListener() {
             @Override
             public void admitted() {
                 admitted++;
@@ -181,16 +181,16 @@
 
         @Override
         public void send(String vm, PeerMessage message) {
-            sent++;
-            if (random.nextDouble() < lostPart) {
+            sentMessages++;
+            if (random.nextDouble() < messageLossRate) {
                 return;
             }
             loop.schedule(DELIVERY_MILLIS, () -> {
-                AccountLimiter to = fleet.get(Integer.parseInt(vm));
-                if (message instanceof TokenRequest need) {
-                    to.tokenRequestReceived(String.valueOf(self), need);
-                } else if (message instanceof TokenTransfer gift) {
-                    to.tokenTransferReceived(gift);
+                AccountLimiter receiver = fleet.get(Integer.parseInt(vm));
+                if (message instanceof TokenRequest request) {
+                    receiver.tokenRequestReceived(String.valueOf(self), request);
+                } else if (message instanceof TokenTransfer transfer) {
+                    receiver.tokenTransferReceived(transfer);
                 }
             });
         }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/CallerSessionTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/CallerSessionTests.java
@@ -26,9 +26,9 @@
         assertEquals(
                 List.of(ErrorCode.DATABASE_UNKNOWN),
                 pool.connectCaller("nothing").refusals());
-        FakeCaller stranger = new FakeCaller(pool.sessions(), TestPool.LATEST, "wrong");
-        assertEquals(List.of(ErrorCode.KEY_UNKNOWN), stranger.refusals());
-        assertFalse(stranger.isSessionOpen());
+        FakeCaller unauthorized = new FakeCaller(pool.sessions(), TestPool.LATEST, "wrong");
+        assertEquals(List.of(ErrorCode.KEY_UNKNOWN), unauthorized.refusals());
+        assertFalse(unauthorized.isSessionOpen());
     }
 
     @Test
@@ -66,7 +66,7 @@
 
     @Test
     void readsAtAnEndpointThatHoldsTheSessionsOwnWrite() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.write("w1");
         pool.advance(600);
         caller.read("r1");
@@ -81,7 +81,7 @@
 
     @Test
     void readsAtThePrimaryWhenNoReplicaHoldsTheFloorAfterAPromotionRolledItBack() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.write("w1");
         pool.advance(50);
         pool.endpoint("e1").setPrimary(false);
@@ -98,7 +98,7 @@
 
     @Test
     void leavesAWriteInDoubtWhenItsConnectionBreaks() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         pool.endpoint("e1").setWorkMillis(50);
         caller.write("w1");
         pool.advance(60);
@@ -123,7 +123,7 @@
 
     @Test
     void abortsATransactionWhoseConnectionBreaksBeforeItsCommit() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
@@ -141,7 +141,7 @@
 
     @Test
     void leavesACommitInDoubtWhenItsConnectionBreaks() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
@@ -156,7 +156,7 @@
 
     @Test
     void refusesACommitOfAFailedTransaction() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
@@ -172,7 +172,7 @@
 
     @Test
     void endsATransactionThatStaysIdle() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(3_200);
@@ -183,7 +183,7 @@
 
     @Test
     void refusesAWithdrawnKeyOfACallerThatIsConnected() {
-        FakeCaller caller = pool.connectCaller(TestPool.OWN);
+        FakeCaller caller = pool.connectCaller(TestPool.READ_YOUR_WRITES);
         caller.send("b", new CallerStatement.Begin(false));
         caller.write("w1");
         pool.advance(100);
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void closesANewSessionBeforeItsCallerGivesUp() {
+    void closesANewSessionBeforeItsCallerTimesOut() {
         FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         pool.advance(1_960);
         assertTrue(caller.isClosed());
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/store/TableWatcherTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/store/TableWatcherTests.java
@@ -19,7 +19,7 @@
     private final List<String> seen = new ArrayList<>();
 
     @Test
-    void tellsOfChangesAndRemovalsSoonAfterThem() {
+    void reportsChangesAndRemovalsPromptly() {
         table.put("a", "1");
         start();
         loop.advance(50);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void tellsOfTheStoresReturnBeforeWhatChangedMeanwhile() {
+    void reportsRecoveryOfTheStoreBeforeMissedChanges() {
         start();
         loop.advance(50);
         table.setUnavailable(true);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void callsRarelyWhileNothingChangesOrTheStoreIsAway() {
+    void limitsCallsWhileNothingChangesOrTheStoreIsUnavailable() {
         start();
         loop.advance(20_000);
         assertTrue(table.callCount() <= 12, table.callCount() + " calls in 20 s");
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
@@ -17,7 +17,7 @@
     private final List<Reply> replies = new ArrayList<>();
     private final List<ErrorCode> refusals = new ArrayList<>();
     private final CallerSession session;
-    private boolean greeted;
+    private boolean sessionOpen;
     private boolean closed;
 
     /** Connects to a VM. */
@@ -69,7 +69,7 @@
 
     /** Whether the session was opened. */
     public boolean isSessionOpen() {
-        return greeted;
+        return sessionOpen;
     }
 
     /** Whether the VM closed the connection. */
@@ -84,7 +84,7 @@
 
     @Override
     public void acceptSession() {
-        greeted = true;
+        sessionOpen = true;
     }
 
     @Override
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
@@ -23,27 +23,27 @@
 public final class FakeEndpoint {
 
     /** Milliseconds until an answer arrives. */
-    private static final long ANSWER_MILLIS = 2;
+    private static final long REPLY_DELAY_MILLIS = 2;
 
-    private static final long OPEN_MILLIS = 12;
+    private static final long CONNECT_DELAY_MILLIS = 12;
 
     private final ManualLoop loop;
-    private final List<String> ran = new ArrayList<>();
-    private final Map<String, Map<String, String>> valuesAt = new HashMap<>();
+    private final List<String> executedStatements = new ArrayList<>();
+    private final Map<String, Map<String, String>> valuesByStatement = new HashMap<>();
     private final List<Link> links = new ArrayList<>();
     private final int maxConnections;
     private final String id;
     private boolean primary;
-    private boolean up = true;
-    private boolean silent;
-    private boolean busy;
+    private boolean running = true;
+    private boolean unresponsive;
+    private boolean overloaded;
     private long workMillis;
     private LogPosition position = new LogPosition(1, 10);
-    private int opened;
-    private int asked;
-    private boolean foreign;
-    private boolean full;
-    private int refusedFull;
+    private int openedConnections;
+    private int connectAttempts;
+    private boolean misrouted;
+    private boolean connectionsExhausted;
+    private int rejectedConnections;
 
     /** Creates an endpoint that is up. */
     public FakeEndpoint(ManualLoop loop, String id, boolean primary, int maxConnections) {
@@ -60,17 +60,17 @@
 
     /** Identifiers of the callers' statements that were run, in order. */
     public List<String> executedStatements() {
-        return List.copyOf(ran);
+        return List.copyOf(executedStatements);
     }
 
     /** The session values under which a statement ran. */
     public Map<String, String> sessionValues(String statementId) {
-        return valuesAt.get(statementId);
+        return valuesByStatement.get(statementId);
     }
 
     /** Connections opened so far. */
     public int openedConnections() {
-        return opened;
+        return openedConnections;
     }
 
     /** Connections open now. */
@@ -102,8 +102,8 @@
     }
 
     /** Makes it the primary or a replica. */
-    public void setPrimary(boolean leads) {
-        primary = leads;
+    public void setPrimary(boolean isPrimary) {
+        primary = isPrimary;
     }
 
     /** Time that a read or write takes, milliseconds. */
@@ -112,44 +112,44 @@
     }
 
     /** Refuses all work for lack of capacity. */
-    public void setOverloaded(boolean refuses) {
-        busy = refuses;
+    public void setOverloaded(boolean refuse) {
+        overloaded = refuse;
     }
 
     /** Takes whatever arrives and answers nothing. */
-    public void setUnresponsive(boolean mute) {
-        silent = mute;
+    public void setUnresponsive(boolean ignoreCommands) {
+        unresponsive = ignoreCommands;
     }
 
     /** Refuses connections as if other VMs held all of them. */
-    public void setConnectionsExhausted(boolean refuses) {
-        full = refuses;
+    public void setConnectionsExhausted(boolean refuse) {
+        connectionsExhausted = refuse;
     }
 
     /** Refuses connections because the address belongs to another process now. */
-    public void setMisrouted(boolean other) {
-        foreign = other;
+    public void setMisrouted(boolean otherProcess) {
+        misrouted = otherProcess;
     }
 
     /** Connections that were asked for so far. */
     public int connectAttempts() {
-        return asked;
+        return connectAttempts;
     }
 
     /** Connections refused so far because it had enough. */
     public int rejectedConnections() {
-        return refusedFull;
+        return rejectedConnections;
     }
 
     /** Ends the process: connections break and none can be opened. */
     public void crash() {
-        up = false;
+        running = false;
         breakConnections();
     }
 
     /** Accepts connections again. */
     public void restart() {
-        up = true;
+        running = true;
     }
 
     /** Breaks all connections. */
@@ -162,22 +162,22 @@
 
     /** Opens a connection. */
     public EndpointLink connect(Account account, EndpointLink.Listener listener) {
-        asked++;
+        connectAttempts++;
         Link link = new Link(listener);
-        if (silent) {
+        if (unresponsive) {
             return link;
         }
-        loop.schedule(OPEN_MILLIS, () -> {
-            if (!up) {
+        loop.schedule(CONNECT_DELAY_MILLIS, () -> {
+            if (!running) {
                 listener.closed();
-            } else if (foreign) {
+            } else if (misrouted) {
                 listener.refused(ErrorCode.MISROUTED);
-            } else if (full || links.size() >= maxConnections) {
-                refusedFull++;
+            } else if (connectionsExhausted || links.size() >= maxConnections) {
+                rejectedConnections++;
                 listener.refused(ErrorCode.TOO_MANY_CONNECTIONS);
             } else if (!link.closed) {
                 links.add(link);
-                opened++;
+                openedConnections++;
                 listener.opened(Option.some(position));
             }
         });
@@ -201,13 +201,15 @@
 
         @Override
         public void send(List<EndpointCommand> commands) {
-            if (silent) {
+            if (unresponsive) {
                 return;
             }
             for (EndpointCommand command : commands) {
-                boolean works =
+                boolean runsStatement =
                         command instanceof EndpointCommand.Forward || command instanceof EndpointCommand.Execute;
-                freeAtMillis = Math.max(freeAtMillis, loop.nowMillis()) + ANSWER_MILLIS + (works ? workMillis : 0);
+                freeAtMillis = Math.max(freeAtMillis, loop.nowMillis())
+                        + REPLY_DELAY_MILLIS
+                        + (runsStatement ? workMillis : 0);
                 loop.schedule(freeAtMillis - loop.nowMillis(), () -> answer(command));
             }
         }
@@ -219,7 +221,7 @@
         }
 
         private void answer(EndpointCommand command) {
-            if (closed || !links.contains(this) || silent) {
+            if (closed || !links.contains(this) || unresponsive) {
                 return;
             }
             StatementOutcome outcome = run(command);
@@ -293,7 +295,7 @@
         }
 
         private StatementOutcome work(String statementId, String text, Option<LogPosition> floor, boolean write) {
-            if (busy) {
+            if (overloaded) {
                 return failed(ErrorCode.OVERLOADED);
             }
             boolean open = status == TransactionStatus.OPEN;
@@ -303,8 +305,8 @@
             if (floor.exists(needed -> needed.compareTo(position) > 0)) {
                 return failed(ErrorCode.LAGGING);
             }
-            ran.add(statementId);
-            valuesAt.put(statementId, Map.copyOf(values));
+            executedStatements.add(statementId);
+            valuesByStatement.put(statementId, Map.copyOf(values));
             wrote |= write;
             if (text.startsWith("COMMIT") || (write && !open)) {
                 status = TransactionStatus.IDLE;
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeObjectTable.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeObjectTable.java
@@ -16,16 +16,16 @@
 /** Objects of one kind in memory, answered in virtual time, with outages and lost answers. */
 public final class FakeObjectTable<T> implements ObjectTable<T> {
 
-    private static final long ANSWER_MILLIS = 8;
+    private static final long RESPONSE_DELAY_MILLIS = 8;
     private static final long TIMEOUT_MILLIS = 1_200;
 
     private final ManualLoop loop;
     private final Map<String, VersionedObject<T>> objects = new LinkedHashMap<>();
     private final List<VersionedObject<T>> history = new ArrayList<>();
     private long revision = 1;
-    private boolean away;
-    private boolean loseAnswers;
-    private boolean historyGone;
+    private boolean unavailable;
+    private boolean dropResponses;
+    private boolean historyDiscarded;
     private int calls;
 
     /** Creates an empty table. */
@@ -34,18 +34,18 @@
     }
 
     /** Refuses all calls. */
-    public void setUnavailable(boolean down) {
-        away = down;
+    public void setUnavailable(boolean fail) {
+        unavailable = fail;
     }
 
     /** Carries calls out and gives no answer. */
-    public void setDropResponses(boolean lose) {
-        loseAnswers = lose;
+    public void setDropResponses(boolean drop) {
+        dropResponses = drop;
     }
 
     /** Forgets which objects changed. */
     public void discardHistory() {
-        historyGone = true;
+        historyDiscarded = true;
         history.clear();
     }
 
@@ -69,23 +69,23 @@
     }
 
     @Override
-    public void list(boolean stale, Consumer<Either<StoreFailure, Listing<T>>> done) {
+    public void list(boolean allowStale, Consumer<Either<StoreFailure, Listing<T>>> done) {
         answer(done, () -> Either.right(new Listing<>(List.copyOf(objects.values()), revision)));
     }
 
     @Override
-    public void watch(long from, long waitMillis, Consumer<Either<StoreFailure, Listing<T>>> done) {
-        if (away) {
+    public void watch(long from, long maxWaitMillis, Consumer<Either<StoreFailure, Listing<T>>> done) {
+        if (unavailable) {
             answer(done, () -> Either.left(new StoreFailure.Unavailable("away")));
             return;
         }
-        if (historyGone) {
-            historyGone = false;
+        if (historyDiscarded) {
+            historyDiscarded = false;
             answer(done, () -> Either.left(new StoreFailure.HistoryGone()));
             return;
         }
         calls++;
-        poll(from, loop.nowMillis() + waitMillis, done);
+        poll(from, loop.nowMillis() + maxWaitMillis, done);
     }
 
     @Override
@@ -109,24 +109,24 @@
     private void poll(long from, long untilMillis, Consumer<Either<StoreFailure, Listing<T>>> done) {
         List<VersionedObject<T>> changed =
                 history.stream().filter(object -> object.revision() > from).toList();
-        if (away) {
+        if (unavailable) {
             done.accept(Either.left(new StoreFailure.Unavailable("cut")));
         } else if (!changed.isEmpty() || loop.nowMillis() >= untilMillis) {
             done.accept(Either.right(new Listing<>(changed, revision)));
         } else {
-            loop.schedule(ANSWER_MILLIS, () -> poll(from, untilMillis, done));
+            loop.schedule(RESPONSE_DELAY_MILLIS, () -> poll(from, untilMillis, done));
         }
     }
 
     private <R> void answer(Consumer<Either<StoreFailure, R>> done, Supplier<Either<StoreFailure, R>> call) {
         calls++;
-        loop.schedule(ANSWER_MILLIS, () -> {
-            if (away) {
+        loop.schedule(RESPONSE_DELAY_MILLIS, () -> {
+            if (unavailable) {
                 done.accept(Either.left(new StoreFailure.Unavailable("away")));
                 return;
             }
             Either<StoreFailure, R> result = call.get();
-            if (loseAnswers) {
+            if (dropResponses) {
                 loop.schedule(
                         TIMEOUT_MILLIS, () -> done.accept(Either.left(new StoreFailure.Unavailable("no answer"))));
             } else {
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
@@ -17,8 +17,8 @@
 
     private final ManualLoop loop;
     private final Map<String, BiConsumer<String, PeerMessage>> receivers = new LinkedHashMap<>();
-    private final Set<String> cut = new HashSet<>();
-    private final Set<Class<? extends PeerMessage>> dropped = new HashSet<>();
+    private final Set<String> partitioned = new HashSet<>();
+    private final Set<Class<? extends PeerMessage>> dropNextTypes = new HashSet<>();
 
     /** Creates a network without VMs. */
     public FakePeerNetwork(ManualLoop loop) {
@@ -32,17 +32,17 @@
     }
 
     /** Cuts a VM off from all others, or ends the cut. */
-    public void setPartitioned(String vm, boolean off) {
-        if (off) {
-            cut.add(vm);
+    public void setPartitioned(String vm, boolean partition) {
+        if (partition) {
+            partitioned.add(vm);
         } else {
-            cut.remove(vm);
+            partitioned.remove(vm);
         }
     }
 
     /** Loses the next message of a type. */
     public void dropNext(Class<? extends PeerMessage> type) {
-        dropped.add(type);
+        dropNextTypes.add(type);
     }
 
     private final class Links implements PeerLinks {
@@ -55,12 +55,12 @@
 
         @Override
         public void send(String vm, PeerMessage message) {
-            if (dropped.remove(message.getClass())) {
+            if (dropNextTypes.remove(message.getClass())) {
                 return;
             }
             loop.schedule(DELIVERY_MILLIS, () -> {
                 BiConsumer<String, PeerMessage> receiver = receivers.get(vm);
-                if (receiver != null && !cut.contains(vm) && !cut.contains(self)) {
+                if (receiver != null && !partitioned.contains(vm) && !partitioned.contains(self)) {
                     receiver.accept(self, message);
                 }
             });
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPool.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPool.java
@@ -34,7 +34,7 @@
     public static final String BOUNDED = "bounded";
 
     /** The route whose reads see the session's own commits. */
-    public static final String OWN = "own";
+    public static final String READ_YOUR_WRITES = "own";
 
     /** A key that is configured. */
     public static final String KEY = "key";
@@ -67,7 +67,7 @@
                 (group, endpoint) -> shortages.add(endpoint),
                 loop::nowMillis,
                 () -> loop.nowMillis() + suspendedMillis));
-        limiter = new AccountLimiter(new SilentPeers(), loop::nowMillis);
+        limiter = new AccountLimiter(new UnreachablePeers(), loop::nowMillis);
         sessions = new Sessions(
                 groups,
                 limiter,
@@ -162,7 +162,7 @@
                 List.of(
                         route(LATEST, Consistency.LATEST, 0),
                         route(BOUNDED, Consistency.BOUNDED, 1_500),
-                        route(OWN, Consistency.READ_YOUR_WRITES, 2_500)),
+                        route(READ_YOUR_WRITES, Consistency.READ_YOUR_WRITES, 2_500)),
                 List.of(new GroupDeclaration(GROUP, maxConnections, syncReplicas)),
                 accounts,
                 3_000);
@@ -185,7 +185,7 @@
     }
 
     /** A fleet of which this VM reaches no other. */
-    private static final class SilentPeers implements PeerLinks {
+    private static final class UnreachablePeers implements PeerLinks {
 
         @Override
         public void send(String vm, PeerMessage message) {
