--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountLimiter.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountLimiter.java
@@ -14,29 +14,32 @@
 import org.hyssopswitch.pool.peer.TokenTransfer;
 
 /**
- * Admits operations of client accounts at this VM's share of their rates, and moves what is not needed to VMs that need
- * it.
+ * Admits operations of client accounts within this VM's share of their rates, and transfers unused tokens to VMs that
+ * request them.
  *
- * <p>A few VMs, chosen by rendezvous hashing of the account, hold equal shares, which add up to the declared rate and
- * burst; in a small fleet these are all VMs. The others hold none and ask the few. An operation that is handed over is
- * taken from the giver before it is sent, so a lost message loses it and the limit holds whatever happens to messages
- * and VMs.
+ * <p>For each account a few VMs, chosen by rendezvous hashing, hold equal shares that add up to the declared rate and
+ * burst; in a small fleet all VMs do. The others hold no share and request tokens from those VMs. Tokens are withdrawn
+ * before the transfer is sent, so a lost message loses its tokens, and no failure of messages or VMs lets an account
+ * exceed its limit.
  */
 public final class AccountLimiter {
 
-    /** Period in which spare operations are asked for, milliseconds: a fraction of a second's rate. */
+    /** Interval between token requests, milliseconds; covers a fraction of a second's rate. */
     private static final long TOKEN_REQUEST_PERIOD_MILLIS = 100;
 
-    /** The same in a fleet of which only some VMs share a rate, milliseconds; what runs out is asked for at once. */
+    /**
+     * Interval between token requests in a fleet where only some VMs share a rate, milliseconds; operations that
+     * wait for tokens trigger a request at once.
+     */
     private static final long LARGE_FLEET_TOKEN_REQUEST_PERIOD_MILLIS = 500;
 
-    /** Shortest time between two requests when operations run out, milliseconds. */
+    /** Minimum interval between token requests for waiting operations, milliseconds. */
     private static final long MIN_URGENT_REQUEST_PERIOD_MILLIS = 15;
 
-    /** VMs that share the rate of one client account; bounds messages and rounding in a fleet of any size. */
+    /** Maximum number of VMs that share one account's rate; bounds messages and rounding in a fleet of any size. */
     private static final int MAX_SHARING_VMS = 8;
 
-    /** What is asked for in all, as a multiple of what is missing: most VMs have little to spare. */
+    /** Tokens requested in total, as a multiple of the shortfall: most VMs have few unused tokens. */
     private static final double REQUEST_FACTOR = 2;
 
     private final LongSupplier clock;
@@ -47,9 +50,9 @@
     private long lastUrgentRequestMillis;
 
     /**
-     * Creates a limiter that knows no account.
+     * Creates a limiter without accounts.
      *
-     * @param peers the other VMs
+     * @param peers links to the other VMs
      * @param clock milliseconds of the monotonic clock
      */
     public AccountLimiter(PeerLinks peers, LongSupplier clock) {
@@ -60,7 +63,7 @@
     }
 
     /**
-     * Takes the limits of a configuration.
+     * Applies the limits of a configuration.
      *
      * @param catalog the configuration
      * @param self name of this VM
@@ -87,20 +90,20 @@
     }
 
     /**
-     * Sends over whom spare operations are exchanged from now on.
+     * Sets the links over which tokens are exchanged.
      *
-     * @param links the other VMs
+     * @param links links to the other VMs
      */
     public void connect(PeerLinks links) {
         peers = links;
     }
 
     /**
-     * Admits an operation now, or later when an operation is likely to become free within a short wait.
+     * Admits an operation now, or after a short wait if a token is likely to become available within it.
      *
      * @param account the client account
      * @param maxWaitMillis longest wait, milliseconds
-     * @param listener told the decision, possibly before this call returns
+     * @param listener notified of the decision, possibly before this call returns
      */
     public void admit(Account account, long maxWaitMillis, AdmissionListener listener) {
         AccountShare share = shares.get(account.name());
@@ -113,7 +116,7 @@
         requestTokensForWaiting(now);
     }
 
-    /** Admits or refuses what waits and asks for spare operations; called every few milliseconds. */
+    /** Admits or refuses waiting operations and requests missing tokens; called every few milliseconds. */
     public void tick() {
         long now = clock.getAsLong();
         shares.values().forEach(share -> share.processWaiting(now));
@@ -127,10 +130,10 @@
     }
 
     /**
-     * Gives another VM what this one will not need soon.
+     * Transfers tokens that this VM will not need soon to another VM.
      *
      * @param vm name of the VM
-     * @param request what it asks for
+     * @param request the tokens that it requests
      */
     public void tokenRequestReceived(String vm, TokenRequest request) {
         long now = clock.getAsLong();
@@ -148,9 +151,9 @@
     }
 
     /**
-     * Takes operations that another VM handed over.
+     * Deposits tokens that another VM transferred.
      *
-     * @param transfer the operations
+     * @param transfer the tokens
      */
     public void tokenTransferReceived(TokenTransfer transfer) {
         long now = clock.getAsLong();
@@ -162,7 +165,7 @@
         });
     }
 
-    /** Asks for what operations wait for. */
+    /** Requests tokens for the accounts whose operations wait. */
     private void requestTokensForWaiting(long now) {
         if (now - lastUrgentRequestMillis < MIN_URGENT_REQUEST_PERIOD_MILLIS) {
             return;
@@ -179,7 +182,7 @@
         }
     }
 
-    /** Asks all that share an account's rate; in a large fleet one of them after the other. */
+    /** Requests tokens from all VMs that share an account's rate, or in a large fleet from one of them, in rotation. */
     private void requestTokens(Map<String, AccountShare> forShares, long now) {
         Map<String, Map<String, Double>> requested = new HashMap<>();
         forShares.forEach((name, share) -> {
@@ -194,20 +197,20 @@
         requested.forEach((vm, byAccount) -> peers.send(vm, new TokenRequest(byAccount)));
     }
 
-    /** Takes the decision on one operation. */
+    /** Receives the decision on one operation. */
     public interface AdmissionListener {
 
         /** The operation may run. */
         void admitted();
 
         /**
-         * The client account is beyond its rate.
+         * The client account exceeds its rate.
          *
          * @param retryAfterMillis milliseconds after which an operation is likely to be admitted
          */
         void refused(long retryAfterMillis);
 
-        /** Whether the caller still waits. */
+        /** Whether the caller still waits for the decision. */
         boolean isPending();
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountShare.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/AccountShare.java
@@ -8,30 +8,30 @@
 import org.hyssopswitch.core.configuration.Rate;
 import org.hyssopswitch.core.limit.TokenBucket;
 
-/** One VM's share of a client account's rate, and the operations that wait for it. */
+/** One VM's share of a client account's rate, and the operations that wait for tokens. */
 final class AccountShare {
 
-    /** Time for which operations are kept ahead, milliseconds: several exchanges between VMs. */
+    /** Time whose expected demand is kept in tokens, milliseconds; spans several exchanges between VMs. */
     private static final double DEMAND_HORIZON_MILLIS = 500;
 
-    /** Operations ahead below which none is kept for the variation of demand: others ask for it more. */
+    /** Expected demand, in tokens, up to which none is kept for its variation: other VMs need it more. */
     private static final double SMALL_DEMAND_TOKENS = 0.5;
 
-    /** Operations that may wait whatever the rate, so that those of a small account can be moved to it. */
+    /** Operations that may wait whatever the rate, so that tokens of a small account can be transferred to this VM. */
     private static final int MIN_QUEUE_CAPACITY = 2;
 
-    /** Fewest operations that are worth a request to other VMs. */
+    /** Smallest shortfall, in tokens, that is worth a request to other VMs. */
     private static final double MIN_REQUEST_TOKENS = 0.25;
 
-    /** Time over which demand is averaged, milliseconds. */
+    /** Time constant of the moving average of demand, milliseconds. */
     private static final double DEMAND_AVERAGING_MILLIS = 1_000;
 
-    /** Time for which a VM without a share of its own keeps operations that it does not use, milliseconds. */
+    /** Idle time after which a VM without a share discards its tokens, milliseconds. */
     private static final long UNUSED_TOKEN_RETENTION_MILLIS = 2_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Longest wait told to a caller, milliseconds. */
+    /** Maximum retry delay reported to a caller, milliseconds. */
     private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
 
     private final TokenBucket bucket;
@@ -45,22 +45,22 @@
     private long lastUseMillis;
 
     /**
-     * Creates a share without operations.
+     * Creates a share without tokens.
      *
-     * @param firstRotation which of the others is asked first; should differ between VMs
+     * @param rotationStart start of the rotation over the other VMs; should differ between VMs
      * @param nowMillis milliseconds of the monotonic clock
      */
-    AccountShare(int firstRotation, long nowMillis) {
-        this.rotation = firstRotation;
+    AccountShare(int rotationStart, long nowMillis) {
+        this.rotation = rotationStart;
         this.bucket = new TokenBucket(0, 0, nowMillis);
         this.demandUpdatedMillis = nowMillis;
     }
 
     /**
-     * Takes the declared limit.
+     * Applies the declared limit.
      *
-     * @param rate the limit of all VMs together
-     * @param sharingVms number of VMs that share it when this is one of them, otherwise 0
+     * @param rate the limit of the whole fleet
+     * @param sharingVms number of VMs that share it if this is one of them, otherwise 0
      * @param otherVms the other VMs that share it
      * @param nowMillis milliseconds of the monotonic clock
      */
@@ -75,12 +75,12 @@
         }
     }
 
-    /** The other VMs that share the limit. */
+    /** Returns the other VMs that share the limit. */
     List<String> otherSharingVms() {
         return otherSharingVms;
     }
 
-    /** One of the others, each in turn. */
+    /** Returns one of the other VMs that share the limit, in rotation. */
     Option<String> nextSharingVm() {
         if (otherSharingVms.isEmpty()) {
             return Option.none();
@@ -96,7 +96,7 @@
         return waiting.isEmpty() && bucket.tryTake(nowMillis);
     }
 
-    /** Lets an operation wait unless more wait already than the whole fleet's rate could admit in the time. */
+    /** Queues an operation, or refuses it if the fleet's rate could not admit the whole queue within the wait. */
     void enqueueOrRefuse(AccountLimiter.AdmissionListener listener, long nowMillis, long maxWaitMillis) {
         double admissible = fleetRate * maxWaitMillis / MILLIS_PER_SECOND;
         if (waiting.size() >= Math.max(MIN_QUEUE_CAPACITY, admissible)) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Admits what waits as far as operations are free, and refuses what has waited too long. */
+    /** Admits waiting operations while tokens last, and refuses those whose wait has expired. */
     void processWaiting(long nowMillis) {
         if (withoutShare && nowMillis - lastUseMillis > UNUSED_TOKEN_RETENTION_MILLIS) {
             bucket.withdraw(bucket.burst(), nowMillis);
@@ -128,18 +128,18 @@
         refused.forEach(operation -> operation.listener().refused(retryAfterMillis));
     }
 
-    /** Whether operations wait for the rate. */
+    /** Whether operations wait for tokens. */
     boolean hasWaiting() {
         return !waiting.isEmpty();
     }
 
-    /** Operations that are likely to be asked for soon and are not at hand. */
+    /** Returns the number of tokens that are likely to be needed soon and are not available. */
     double missingTokens(long nowMillis) {
         double missing = targetTokens(nowMillis) - bucket.tokens(nowMillis);
         return missing < MIN_REQUEST_TOKENS && waiting.isEmpty() ? 0 : Math.max(0, missing);
     }
 
-    /** Hands over up to half of what this VM will not need soon, and one whole operation if there is one. */
+    /** Withdraws up to half of the tokens that this VM will not need soon, but at least one if there is a whole one. */
     double withdrawUnused(double requested, long nowMillis) {
         double unused = bucket.tokens(nowMillis) - targetTokens(nowMillis);
         return unused <= 0
@@ -148,18 +148,18 @@
     }
 
     void deposit(double tokens, long nowMillis) {
-        // More than is missing is asked for, so twice as much may arrive; none of it may be lost.
+        // Requests exceed the shortfall, so twice as many tokens may arrive; none of them may be lost.
         double limit = Math.max(bucket.burst(), 2 * targetTokens(nowMillis) + 1);
         bucket.deposit(tokens, limit, nowMillis);
         processWaiting(nowMillis);
     }
 
-    /** Operations to have at hand: for what waits, for the demand of a while, and one for its variation. */
+    /** Returns the number of tokens to hold: for waiting operations, for expected demand, and one for its variation. */
     private double targetTokens(long nowMillis) {
         decayDemand(nowMillis);
         double expectedDemand = demandPerMilli * DEMAND_HORIZON_MILLIS;
         boolean largeDemand = expectedDemand > SMALL_DEMAND_TOKENS;
-        // What a borrower asks for and does not use is lost to the account.
+        // Tokens that a VM without a share requests and does not use are lost to the account.
         return waiting.size() + (withoutShare && !largeDemand ? 0 : expectedDemand) + (largeDemand ? 1 : 0);
     }
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/package-info.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/quota/package-info.java
@@ -1,2 +1,6 @@
-/** Rate and burst of client accounts, counted over all VMs together. */
+/**
+ * Rate limits of client accounts, enforced across all VMs of the fleet.
+ *
+ * <p>Belongs to the engine behind the users' platform.
+ */
 package org.hyssopswitch.pool.quota;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Authorization.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Authorization.java
@@ -4,9 +4,9 @@
 import org.hyssopswitch.pool.catalog.Route;
 
 /**
- * What a caller may do under the configuration in force.
+ * Route and account that a caller may use under the current configuration.
  *
  * @param route the route of its database
- * @param account the client account of its key
+ * @param account the client account that its key belongs to
  */
 record Authorization(Route route, Account account) {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/AutocommitStatement.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/AutocommitStatement.java
@@ -12,13 +12,13 @@
 /**
  * A statement outside a transaction.
  *
- * <p>Reads are repeated at other endpoints until one answers; a write is repeated only when the endpoint said that it
- * did not run. A read that must see every commit runs inside a transaction of the VM's own, because only the start of a
- * transaction proves that the endpoint is still the primary.
+ * <p>Reads are retried at other endpoints until one answers; a write is retried only if the endpoint reported that it
+ * did not run. A read that must see every commit runs inside a transaction that the VM starts itself, because only the
+ * start of a transaction proves that the endpoint is still the primary.
  */
 final class AutocommitStatement extends CallerOperation {
 
-    /** Attempts per statement: one per endpoint of a group of three, and a last one at the primary. */
+    /** Attempts per statement: one at each endpoint of a group of three, and a last one at the primary. */
     private static final int MAX_ATTEMPTS = 4;
 
     private final ExecutableStatement statement;
@@ -83,7 +83,7 @@
         done = true;
     }
 
-    /** Asks another endpoint while the first one may still answer. */
+    /** Sends a slow read to another endpoint while the first one may still answer. */
     private void hedge(long nowMillis) {
         if (!primaryOnly() && nowMillis - attemptStartMillis > session().hedgeAfterMillis(route())) {
             hedged = true;
@@ -129,7 +129,7 @@
         session().completeStatement(reply);
     }
 
-    /** Decides on an error that an endpoint reported. */
+    /** Handles an error that an endpoint reported. */
     private void handleError(PooledConnection connection, ErrorCode code, String text) {
         switch (code) {
             case READ_ONLY -> {
@@ -155,7 +155,7 @@
         }
     }
 
-    /** The answer to the statement itself. */
+    /** Handles the reply to the statement itself. */
     private final class StatementHandler implements ReplyHandler {
 
         private final PooledConnection connection;
@@ -196,7 +196,7 @@
         }
     }
 
-    /** The answer to the start of the VM's own transaction around a read. */
+    /** Handles the reply to the start of the VM's own transaction around a read. */
     private final class PrimaryCheckHandler implements ReplyHandler {
 
         private final PooledConnection connection;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerLink.java
@@ -6,21 +6,21 @@
 /** One connection of a caller, used on the decision thread. */
 public interface CallerLink {
 
-    /** Tells the caller that the session is open. */
+    /** Notifies the caller that the session is open. */
     void acceptSession();
 
     /**
-     * Answers a statement.
+     * Sends the reply to a statement.
      *
-     * @param reply the whole answer
+     * @param reply the complete reply
      */
     void reply(Reply reply);
 
     /**
      * Refuses the session and closes the connection.
      *
-     * @param code why
-     * @param text one line for people
+     * @param code error code for the caller
+     * @param text one human-readable line
      */
     void refuseSession(ErrorCode code, String text);
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
@@ -7,10 +7,10 @@
 import org.hyssopswitch.pool.catalog.Route;
 import org.hyssopswitch.pool.endpoint.ConnectionRequest;
 
-/** What a single statement and a transaction have in common while they wait for an endpoint. */
+/** Common part of autocommit statements and transactions, which wait for an endpoint. */
 abstract class CallerOperation implements ConnectionRequest {
 
-    /** Part of the latency objective for which an operation waits when no endpoint could run it. */
+    /** Fraction of the latency objective for which an operation waits when no endpoint can run it. */
     private static final double UNSERVABLE_WAIT_RATIO = 0.2;
 
     private final Set<String> excludedEndpoints = new HashSet<>();
@@ -79,16 +79,16 @@
         excludedEndpoints.add(endpointId);
     }
 
-    /** Queues the operation for an endpoint; it is refused when none is assigned within its latency objective. */
+    /** Queues the operation for an endpoint; it is refused if none is assigned within latency objective and timeout. */
     final void submit() {
         long maxWaitMillis = Math.min(route.timeoutMillis(), route.objectiveMillis());
         assignBeforeMillis = session.nowMillis() + maxWaitMillis;
         session.submit(this);
     }
 
-    /** Ends what has run too long; called every few milliseconds. */
+    /** Enforces the operation's time limits; called every few milliseconds. */
     abstract void tick(long nowMillis);
 
-    /** The caller is gone. */
+    /** Abandons the operation because its caller disconnected. */
     abstract void abandon();
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerSession.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerSession.java
@@ -21,16 +21,16 @@
 import org.hyssopswitch.pool.statement.StatementOutcome;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
-/** The session of one caller: answers its statements one at a time, in order. */
+/** The session of one caller; executes its statements one at a time, in order. */
 public final class CallerSession {
 
-    /** Time for which a new session waits for the first configuration, milliseconds: callers give up after 2 s. */
+    /** Time for which a new session waits for the first configuration, milliseconds: callers time out after 2 s. */
     private static final long CONFIGURATION_WAIT_MILLIS = 1_900;
 
-    /** Statements that a caller may send ahead of their answers. */
+    /** Statements that a caller may pipeline; a session that exceeds them is closed. */
     private static final int MAX_PIPELINED_STATEMENTS = 64;
 
-    /** Part of the latency objective for which an operation waits when its client account is out of rate. */
+    /** Fraction of the latency objective for which an operation may wait for its client account's rate. */
     private static final double MAX_RATE_WAIT_RATIO = 0.2;
 
     private final Sessions sessions;
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Opens the session.
+     * Opens the session, or lets it wait for the first configuration.
      *
      * @param requestedDatabase the database name
-     * @param presentedKey the caller's key; empty when it gives none
+     * @param presentedKey the caller's key; empty if it presents none
      */
     public void start(String requestedDatabase, String presentedKey) {
         database = requestedDatabase;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Opens or refuses the session under the configuration in force. */
+    /** Opens or refuses the session under the current configuration. */
     void openOrRefuse() {
         awaitingConfiguration = false;
         Either<ErrorCode, Authorization> authorization = authorize();
@@ -94,9 +94,9 @@
     }
 
     /**
-     * Takes a statement.
+     * Queues a statement for execution.
      *
-     * @param id the caller's identifier of it
+     * @param id the caller's identifier of the statement
      * @param statement the statement
      */
     public void statementReceived(String id, CallerStatement statement) {
@@ -111,7 +111,7 @@
         runNext();
     }
 
-    /** The caller ended the session or its connection broke. */
+    /** Ends the session after the caller closed it or its connection was lost. */
     public void disconnected() {
         if (!closed) {
             closed = true;
@@ -121,18 +121,18 @@
         }
     }
 
-    /** Closes the connection. */
+    /** Closes the connection and ends the session. */
     void close() {
         link.close();
         disconnected();
     }
 
-    /** Whether the caller waits for nothing and is outside a transaction. */
+    /** Whether the session is not starting, runs no statement and has no transaction open. */
     boolean isIdle() {
         return !statementRunning && !awaitingConfiguration && transaction.isEmpty();
     }
 
-    /** Ends an open transaction whose caller is between two statements. */
+    /** Aborts an open transaction unless a statement is running. */
     void abortIdleTransaction(String cause) {
         if (!statementRunning) {
             transaction.forEach(running -> running.abort(cause));
@@ -177,7 +177,7 @@
         sessions.submit(operation);
     }
 
-    /** Logs that the current statement is tried again. */
+    /** Logs a retry of the current statement. */
     void logRetry(String endpointId, ErrorCode code, int attempt) {
         currentRequest.forEach(running -> sessions.log().requestRetried(running.id(), endpointId, code, attempt));
     }
@@ -186,12 +186,12 @@
         transaction = Option.none();
     }
 
-    /** Passes an endpoint's answer on. */
+    /** Completes the current statement with an endpoint's reply. */
     void completeStatement(Reply reply) {
         sendReply(new Reply(reply.rows(), reply.outcome(), status(), reply.position()));
     }
 
-    /** Answers the current statement. */
+    /** Completes the current statement with an outcome that the VM determined. */
     void completeStatement(StatementOutcome outcome, Option<LogPosition> position) {
         sendReply(new Reply(List.of(), outcome, status(), position));
     }
@@ -325,7 +325,7 @@
         });
     }
 
-    /** Ends the open transaction when the caller's key has been withdrawn. */
+    /** Returns whether the caller's key is still valid; if not, rolls back the transaction and fails the statement. */
     private boolean checkKey() {
         Catalog catalog = sessions.catalog();
         boolean valid = catalog.findAccount(key).isDefined()
@@ -338,7 +338,7 @@
         return valid;
     }
 
-    /** Checks route, key and rate for a new operation; answers the statement when it is refused. */
+    /** Checks route, key and rate for a new operation; fails the statement if the operation is refused. */
     private void admit(Consumer<Authorization> start) {
         Either<ErrorCode, Authorization> authorization = authorize();
         if (authorization.isLeft()) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerTransaction.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerTransaction.java
@@ -11,14 +11,14 @@
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
 /**
- * A transaction of a caller. It takes a connection with its first statement and keeps it until its end.
+ * A transaction of a caller. It acquires a connection for its first statement and holds it until it ends.
  *
  * <p>Until the first statement has succeeded, the transaction may move to another endpoint; afterwards the loss of its
  * connection ends it.
  */
 final class CallerTransaction extends CallerOperation {
 
-    /** Attempts to start: one per endpoint of a group of three, and a last one at the primary. */
+    /** Attempts to start: one at each endpoint of a group of three, and a last one at the primary. */
     private static final int MAX_ATTEMPTS = 4;
 
     private Option<PooledConnection> connection = Option.none();
@@ -37,12 +37,12 @@
         this.idleSinceMillis = session.nowMillis();
     }
 
-    /** Whether the transaction can only be ended. */
+    /** Whether the transaction has ended and only accepts a commit or rollback. */
     boolean isFailed() {
         return ended;
     }
 
-    /** Why the VM ended the transaction while the caller was silent; told once. */
+    /** Returns, once, why the VM aborted the transaction between two statements. */
     Option<String> takeAbortCause() {
         Option<String> cause = abortCause;
         abortCause = Option.none();
@@ -65,7 +65,7 @@
         execute(statement);
     }
 
-    /** Rolls back without waiting for the endpoint. */
+    /** Rolls back without waiting for the endpoint's reply. */
     void rollback() {
         ended = true;
         connection.forEach(open -> {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Ends the transaction between two statements; the caller learns of it with its next statement. */
+    /** Aborts the transaction between two statements; the reply to the next statement reports the cause. */
     void abort(String cause) {
         if (!ended) {
             rollback();
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Ends the transaction and answers the current statement. */
+    /** Ends the transaction and fails the current statement. */
     private void fail(ErrorCode code, String reason) {
         boolean commit = committing;
         ended = true;
@@ -176,7 +176,7 @@
         session().clearTransaction();
     }
 
-    /** Decides on an error that the endpoint reported for a statement. */
+    /** Handles an error that the endpoint reported for a statement. */
     private void handleStatementError(PooledConnection pooled, StatementOutcome.Failed error) {
         boolean retryable = !statementSucceeded
                 && currentStatement.exists(statement -> !statement.write() || wasNotExecuted(error.code()));
@@ -215,7 +215,7 @@
         };
     }
 
-    /** The answer to the start of the transaction at the endpoint. */
+    /** Handles the reply to the start of the transaction at the endpoint. */
     private final class BeginHandler implements ReplyHandler {
 
         private final PooledConnection pooled;
@@ -256,7 +256,7 @@
         }
     }
 
-    /** The answer to a statement of the caller. */
+    /** Handles the reply to a statement of the caller. */
     private final class StatementHandler implements ReplyHandler {
 
         private final PooledConnection pooled;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/ExecutableStatement.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/ExecutableStatement.java
@@ -6,12 +6,12 @@
 import org.hyssopswitch.pool.statement.PreparedShape;
 
 /**
- * A read, write or execution of a prepared statement.
+ * A statement for an endpoint: a read, a write or the execution of a prepared statement.
  *
  * @param id the caller's identifier of the statement
- * @param text the statement, or the arguments of a prepared one
- * @param shape the prepared statement to execute
- * @param write whether it writes
+ * @param text text of the statement, or arguments of the prepared statement
+ * @param shape the prepared statement to execute, if any
+ * @param write whether the statement writes
  */
 record ExecutableStatement(String id, String text, Option<PreparedShape> shape, boolean write) {
 
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestLog.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestLog.java
@@ -7,10 +7,10 @@
 import org.hyssopswitch.pool.statement.Reply;
 import org.hyssopswitch.pool.statement.StatementOutcome;
 
-/** Writes one line for each request that fails, up to a number of lines a second. */
+/** Logs refused sessions and failed or retried requests, up to a maximum number of lines a second. */
 public final class RequestLog {
 
-    /** Lines a second; what lies beyond is counted and reported by the next line. */
+    /** Lines a second; suppressed lines are counted, and the next line of a failed request reports their number. */
     private static final int MAX_LINES_PER_SECOND = 50;
 
     private static final long WINDOW_MILLIS = 1_000;
@@ -80,12 +80,12 @@
     }
 
     /**
-     * What a line about a request says besides its outcome.
+     * What a log line says about a request besides its outcome.
      *
-     * @param request the caller's identifier
+     * @param request the caller's identifier of the request
      * @param database the database name
      * @param account the client account
-     * @param configuration version of the configuration in force
+     * @param configuration version of the current configuration
      */
     record RequestContext(String request, String database, String account, long configuration) {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestMetrics.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/RequestMetrics.java
@@ -8,10 +8,10 @@
 import org.hyssopswitch.pool.statement.ErrorCode;
 import org.hyssopswitch.pool.statement.Reply;
 
-/** Counts answers by outcome and records latencies per client account and consistency of the route. */
+/** Counts replies by outcome and records latencies by client account and consistency of the route. */
 public final class RequestMetrics {
 
-    /** Values kept per histogram; enough for a 99th percentile and small enough for hundreds of accounts. */
+    /** Samples kept per histogram; enough for a 99th percentile and few enough for hundreds of accounts. */
     private static final int RESERVOIR_VALUES = 256;
 
     private final MetricRegistry registry;
@@ -19,7 +19,7 @@
     /**
      * Creates the metrics.
      *
-     * @param registry where they are registered
+     * @param registry registry of the metrics
      */
     public RequestMetrics(MetricRegistry registry) {
         this.registry = registry;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
@@ -10,10 +10,10 @@
 import org.hyssopswitch.pool.quota.AccountLimiter;
 import org.hyssopswitch.pool.statement.ErrorCode;
 
-/** The sessions of this VM. */
+/** Registry of the sessions of this VM. */
 public final class Sessions {
 
-    /** Time without an answer after which a read is also sent to another endpoint, as a part of its objective. */
+    /** Fraction of the latency objective after which an unanswered read is also sent to another endpoint. */
     private static final double HEDGE_DELAY_RATIO = 0.5;
 
     private final DatabaseGroups groups;
@@ -25,11 +25,11 @@
     private Catalog catalog = Catalog.EMPTY;
 
     /**
-     * Creates an empty table.
+     * Creates a registry without sessions.
      *
      * @param groups the database groups
-     * @param limiter limits of client accounts
-     * @param log log lines of requests
+     * @param limiter rate limiter of client accounts
+     * @param log log of requests
      * @param metrics counters and latencies of requests
      * @param clock milliseconds of the monotonic clock
      */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Takes the session of a new connection.
+     * Creates the session of a new connection.
      *
      * @param link the connection
      */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Puts a configuration in force.
+     * Applies a configuration.
      *
      * @param next the configuration
      */
@@ -63,21 +63,21 @@
         tick();
     }
 
-    /** Number of open sessions. */
+    /** Returns the number of open sessions. */
     public int size() {
         return openSessions.size();
     }
 
-    /** Ends what has run too long; called every few milliseconds. */
+    /** Enforces the time limits of all sessions; called every few milliseconds. */
     public void tick() {
         long now = nowMillis();
         List.copyOf(openSessions).forEach(session -> session.tick(now));
     }
 
     /**
-     * Closes sessions whose callers wait for nothing and have no transaction open.
+     * Closes sessions that are not starting, have no statement running and no transaction open.
      *
-     * @param limit the greatest number to close
+     * @param limit maximum number of sessions to close
      */
     public void closeIdle(int limit) {
         List.copyOf(openSessions).stream()
@@ -87,15 +87,15 @@
     }
 
     /**
-     * Ends transactions whose callers are between two statements.
+     * Aborts transactions that have no statement running.
      *
-     * @param cause why, for the callers
+     * @param cause reason reported to the callers
      */
     public void abortIdleTransactions(String cause) {
         List.copyOf(openSessions).forEach(session -> session.abortIdleTransaction(cause));
     }
 
-    /** Whether a configuration is in force. */
+    /** Whether a configuration was applied. */
     boolean hasConfiguration() {
         return catalog.version() >= 0;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/ObjectTable.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/ObjectTable.java
@@ -5,17 +5,17 @@
 import java.util.function.Consumer;
 
 /**
- * The objects of one kind. Calls return at once; results arrive on the decision thread, once for each call.
+ * The objects of one kind in the store. Calls return at once; each delivers one result, on the decision thread.
  *
- * @param <T> what the objects hold
+ * @param <T> type of the objects' values
  */
 public interface ObjectTable<T> {
 
     /**
      * Reads all objects.
      *
-     * @param allowStale whether the result may be seconds old, which costs less
-     * @param done takes the result
+     * @param allowStale whether a result that is seconds old is accepted, which costs less
+     * @param done receives the result
      */
     void list(boolean allowStale, Consumer<Either<StoreFailure, Listing<T>>> done);
 
@@ -23,8 +23,8 @@
      * Waits for changes.
      *
      * @param revision only changes after this revision of the store are returned
-     * @param maxWaitMillis longest wait, milliseconds; the result is empty when nothing changed
-     * @param done takes the changed objects
+     * @param maxWaitMillis maximum wait, milliseconds; the result is empty if nothing changed
+     * @param done receives the changed objects
      */
     void watch(long revision, long maxWaitMillis, Consumer<Either<StoreFailure, Listing<T>>> done);
 
@@ -32,17 +32,17 @@
      * Reads one object.
      *
      * @param name its name
-     * @param done takes the object, or nothing when it does not exist
+     * @param done receives the object, or nothing if it does not exist
      */
     void read(String name, Consumer<Either<StoreFailure, Option<VersionedObject<T>>>> done);
 
     /**
-     * Writes one object under a condition.
+     * Writes one object if it is at the expected revision.
      *
      * @param name its name
-     * @param expected its revision; nothing when it must not exist
-     * @param value what it is to hold
-     * @param done takes the object as written
+     * @param expected its revision; nothing if it must not exist
+     * @param value its new value
+     * @param done receives the object as written
      */
     void write(String name, Option<Long> expected, T value, Consumer<Either<StoreFailure, VersionedObject<T>>> done);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/StoreFailure.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/StoreFailure.java
@@ -2,13 +2,13 @@
 
 import org.hyssopswitch.core.failure.Failure;
 
-/** Why a call to the store gave no result. */
+/** Reason for which a call to the store failed. */
 public sealed interface StoreFailure extends Failure {
 
     /**
-     * No answer, or one that says that nothing was done; an update without an answer may still be made.
+     * The store did not answer, or reported that nothing was done; a write without an answer may still take effect.
      *
-     * @param reason what was seen
+     * @param reason what was observed
      */
     record Unavailable(String reason) implements StoreFailure {
         @Override
@@ -17,7 +17,7 @@
         }
     }
 
-    /** The requested history is no longer kept. */
+    /** The store no longer keeps the changes since the requested revision. */
     record HistoryGone() implements StoreFailure {
         @Override
         public String describe() {
@@ -25,7 +25,7 @@
         }
     }
 
-    /** The object has changed, exists already, or does not exist. */
+    /** The object was changed, exists already or does not exist. */
     record Conflict() implements StoreFailure {
         @Override
         public String describe() {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
@@ -9,13 +9,14 @@
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /**
- * Follows all objects of one kind: lists them, then watches for changes, and starts again when the history is gone.
+ * Keeps up with all objects of one kind: lists them, then watches for changes, and lists them again when the store no
+ * longer keeps the history of changes.
  *
- * @param <T> what the objects hold
+ * @param <T> type of the objects' values
  */
 public final class TableWatcher<T> {
 
-    /** Bounds of the pause after a failed call, milliseconds: the store's outages last seconds. */
+    /** Bounds of the delay before a failed call is retried, milliseconds: the store's outages last seconds. */
     private static final long MIN_RETRY_DELAY_MILLIS = 100;
 
     private static final long MAX_RETRY_DELAY_MILLIS = 800;
@@ -39,8 +40,8 @@
      *
      * @param name what is watched, for logs
      * @param table the objects
-     * @param listener takes what is read
-     * @param maxWaitMillis longest wait of one watch, milliseconds; an answer that is lost delays changes by as much
+     * @param listener receives what is read
+     * @param maxWaitMillis maximum wait of one watch, milliseconds; a lost answer delays changes by up to this time
      * @param loop the decision thread
      * @param random source of the backoff's jitter
      */
@@ -60,17 +61,17 @@
         this.backoff = new Backoff(MIN_RETRY_DELAY_MILLIS, MAX_RETRY_DELAY_MILLIS, random);
     }
 
-    /** Starts to follow the objects. */
+    /** Starts to list and watch the objects. */
     public void start() {
         list();
     }
 
-    /** Watches no longer; the first list is read all the same. */
+    /** Stops watching after the watch in flight; the first list is read all the same. */
     public void pause() {
         paused = true;
     }
 
-    /** Watches again. */
+    /** Resumes watching. */
     public void resume() {
         paused = false;
         if (!watching && revision >= 0) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /** Whether the store answered the latest call. */
+    /** Whether the objects were listed and the latest call succeeded. */
     public boolean isCurrent() {
         return revision >= 0 && consecutiveFailures == 0;
     }
@@ -144,14 +145,14 @@
     }
 
     /**
-     * Takes what a watcher reads.
+     * Receives what a watcher reads.
      *
-     * @param <T> what the objects hold
+     * @param <T> type of the objects' values
      */
     public interface Listener<T> {
 
         /**
-         * All objects were read; what is not among them does not exist.
+         * All objects were read; an object that is not among them does not exist.
          *
          * @param all the objects
          */
@@ -164,7 +165,7 @@
          */
         void changed(Listing<T> changes);
 
-        /** The store answers again after a failure; called before what it answered. */
+        /** The store answers again after a failure; called before its answer is delivered. */
         void storeRecovered();
     }
 }
