--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
@@ -10,7 +10,7 @@
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
-/** Callers that connect while a restarted VM has not yet read the configuration. */
+/** Callers that connect before a restarted VM has read the configuration. */
 class SessionStartTests {
 
     private final TestPool pool = TestPool.unconfigured();
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
@@ -11,7 +11,7 @@
 import org.hyssopswitch.pool.statement.Reply;
 import org.hyssopswitch.pool.statement.StatementOutcome;
 
-/** A caller that keeps what it was told. */
+/** A caller that records the replies and refusals it receives. */
 public final class FakeCaller implements CallerLink {
 
     private final List<Reply> replies = new ArrayList<>();
@@ -20,7 +20,7 @@
     private boolean sessionOpen;
     private boolean closed;
 
-    /** Connects to a VM. */
+    /** Opens a session at a VM. */
     public FakeCaller(Sessions sessions, String database, String key) {
         session = sessions.accept(this);
         session.start(database, key);
@@ -47,22 +47,22 @@
         send(id, new CallerStatement.Execute("s1", "a"));
     }
 
-    /** All answers. */
+    /** Returns all replies. */
     public List<Reply> replies() {
         return List.copyOf(replies);
     }
 
-    /** The latest answer. */
+    /** Returns the latest reply. */
     public Reply lastReply() {
         return replies.get(replies.size() - 1);
     }
 
-    /** The code of the latest answer. */
+    /** Returns the error code of the latest reply. */
     public ErrorCode lastError() {
         return ((StatementOutcome.Failed) lastReply().outcome()).code();
     }
 
-    /** Why the session was refused. */
+    /** Returns the codes with which the session was refused. */
     public List<ErrorCode> refusals() {
         return List.copyOf(refusals);
     }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
@@ -19,10 +19,10 @@
 import org.hyssopswitch.pool.statement.StatementOutcome;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
-/** A database server that answers in virtual time and keeps what it ran. */
+/** A database endpoint that replies in virtual time and records the statements it executed. */
 public final class FakeEndpoint {
 
-    /** Milliseconds until an answer arrives. */
+    /** Delay of a reply, milliseconds. */
     private static final long REPLY_DELAY_MILLIS = 2;
 
     private static final long CONNECT_DELAY_MILLIS = 12;
@@ -45,7 +45,7 @@
     private boolean connectionsExhausted;
     private int rejectedConnections;
 
-    /** Creates an endpoint that is up. */
+    /** Creates an endpoint that is running. */
     public FakeEndpoint(ManualLoop loop, String id, boolean primary, int maxConnections) {
         this.loop = loop;
         this.id = id;
@@ -53,37 +53,37 @@
         this.maxConnections = maxConnections;
     }
 
-    /** The entry that the platform lists. */
+    /** Returns the entry that the platform lists. */
     public Endpoint entry(String group, String dataCentre, long revision) {
         return new Endpoint(id, group, "10.0.0.1", 1000, dataCentre, false, primary, 1, 0, revision);
     }
 
-    /** Identifiers of the callers' statements that were run, in order. */
+    /** Returns the identifiers of the callers' statements that were executed, in order. */
     public List<String> executedStatements() {
         return List.copyOf(executedStatements);
     }
 
-    /** The session values under which a statement ran. */
+    /** Returns the session values under which a statement was executed. */
     public Map<String, String> sessionValues(String statementId) {
         return valuesByStatement.get(statementId);
     }
 
-    /** Connections opened so far. */
+    /** Returns the number of connections opened so far. */
     public int openedConnections() {
         return openedConnections;
     }
 
-    /** Connections open now. */
+    /** Returns the number of connections open now. */
     public int openConnections() {
         return links.size();
     }
 
-    /** The log position. */
+    /** Returns the log position. */
     public LogPosition position() {
         return position;
     }
 
-    /** Reads the row in which a fake endpoint answers a query of its status. */
+    /** Decodes the row with which a fake endpoint replies to a status query. */
     public static Option<ReplicationStatus> decodeStatus(String row) {
         String[] fields = row.split(" ", -1);
         long term = Long.parseLong(fields[1]);
@@ -91,57 +91,57 @@
                 Boolean.parseBoolean(fields[0]), term, new LogPosition(term, Long.parseLong(fields[2]))));
     }
 
-    /** Whether it is the primary. */
+    /** Whether the endpoint is the primary. */
     public boolean isPrimary() {
         return primary;
     }
 
-    /** Moves the log. */
+    /** Sets the log position. */
     public void setPosition(LogPosition next) {
         position = next;
     }
 
-    /** Makes it the primary or a replica. */
+    /** Makes the endpoint the primary or a replica. */
     public void setPrimary(boolean isPrimary) {
         primary = isPrimary;
     }
 
-    /** Time that a read or write takes, milliseconds. */
+    /** Sets the time that a read or write takes, milliseconds. */
     public void setWorkMillis(long millis) {
         workMillis = millis;
     }
 
-    /** Refuses all work for lack of capacity. */
+    /** Refuses reads and writes as overloaded. */
     public void setOverloaded(boolean refuse) {
         overloaded = refuse;
     }
 
-    /** Takes whatever arrives and answers nothing. */
+    /** Ignores all connections and commands without a reply. */
     public void setUnresponsive(boolean ignoreCommands) {
         unresponsive = ignoreCommands;
     }
 
-    /** Refuses connections as if other VMs held all of them. */
+    /** Refuses connections as if other VMs used up its limit. */
     public void setConnectionsExhausted(boolean refuse) {
         connectionsExhausted = refuse;
     }
 
-    /** Refuses connections because the address belongs to another process now. */
+    /** Refuses connections as if another process now used its address. */
     public void setMisrouted(boolean otherProcess) {
         misrouted = otherProcess;
     }
 
-    /** Connections that were asked for so far. */
+    /** Returns the number of connection attempts so far. */
     public int connectAttempts() {
         return connectAttempts;
     }
 
-    /** Connections refused so far because it had enough. */
+    /** Returns the number of connections refused so far because the limit was reached. */
     public int rejectedConnections() {
         return rejectedConnections;
     }
 
-    /** Ends the process: connections break and none can be opened. */
+    /** Crashes the process: connections break and none can be opened. */
     public void crash() {
         running = false;
         breakConnections();
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeObjectTable.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeObjectTable.java
@@ -13,7 +13,7 @@
 import org.hyssopswitch.pool.store.StoreFailure;
 import org.hyssopswitch.pool.store.VersionedObject;
 
-/** Objects of one kind in memory, answered in virtual time, with outages and lost answers. */
+/** An in-memory table that responds in virtual time, with outages and lost responses. */
 public final class FakeObjectTable<T> implements ObjectTable<T> {
 
     private static final long RESPONSE_DELAY_MILLIS = 8;
@@ -33,35 +33,35 @@
         this.loop = loop;
     }
 
-    /** Refuses all calls. */
+    /** Fails all calls. */
     public void setUnavailable(boolean fail) {
         unavailable = fail;
     }
 
-    /** Carries calls out and gives no answer. */
+    /** Carries out calls but drops their responses. */
     public void setDropResponses(boolean drop) {
         dropResponses = drop;
     }
 
-    /** Forgets which objects changed. */
+    /** Discards the history of changes. */
     public void discardHistory() {
         historyDiscarded = true;
         history.clear();
     }
 
-    /** Calls so far. */
+    /** Returns the number of calls so far. */
     public int callCount() {
         return calls;
     }
 
-    /** Writes as another writer does. */
+    /** Writes an object as another client of the store does. */
     public void put(String name, T value) {
         revision++;
         objects.put(name, new VersionedObject<>(name, revision, Option.some(value)));
         history.add(objects.get(name));
     }
 
-    /** Removes as another writer does. */
+    /** Removes an object as another client of the store does. */
     public void remove(String name) {
         revision++;
         objects.remove(name);
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
@@ -10,7 +10,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 import org.hyssopswitch.pool.peer.PeerLinks;
 
-/** The links between some VMs, with VMs that are cut off. */
+/** The links between some VMs, with network partitions and lost messages. */
 public final class FakePeerNetwork {
 
     private static final long DELIVERY_MILLIS = 2;
@@ -31,7 +31,7 @@
         return new Links(vm);
     }
 
-    /** Cuts a VM off from all others, or ends the cut. */
+    /** Partitions a VM from all others, or ends the partition. */
     public void setPartitioned(String vm, boolean partition) {
         if (partition) {
             partitioned.add(vm);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Loses the next message of a type. */
+    /** Drops the next message of a type. */
     public void dropNext(Class<? extends PeerMessage> type) {
         dropNextTypes.add(type);
     }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/ManualLoop.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/ManualLoop.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** A decision thread whose time is moved by the test. */
+/** A decision thread in virtual time, which the test advances. */
 public final class ManualLoop implements DecisionLoop {
 
     private final PriorityQueue<Task> tasks =
@@ -29,7 +29,7 @@
         return () -> tasks.remove(added);
     }
 
-    /** Runs all tasks of the next milliseconds in order. */
+    /** Advances the time and runs the tasks that fall due, in order. */
     public void advance(long millis) {
         long until = nowMillis + millis;
         while (!tasks.isEmpty() && tasks.peek().atMillis() <= until) {
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPool.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPool.java
@@ -24,7 +24,7 @@
 import org.hyssopswitch.pool.session.RequestMetrics;
 import org.hyssopswitch.pool.session.Sessions;
 
-/** One VM before a group of three endpoints, all in virtual time. */
+/** One VM that serves a group of three endpoints, in virtual time. */
 public final class TestPool {
 
     /** The route whose reads see every commit. */
@@ -36,7 +36,7 @@
     /** The route whose reads see the session's own commits. */
     public static final String READ_YOUR_WRITES = "own";
 
-    /** A key that is configured. */
+    /** A configured key. */
     public static final String KEY = "key";
 
     private static final String GROUP = "group";
@@ -52,7 +52,7 @@
     private Catalog catalog;
     private long suspendedMillis;
 
-    /** Starts a VM before endpoints that accept a number of connections each. */
+    /** Starts a VM with endpoints that each accept a limited number of connections. */
     public TestPool(int maxConnections, int vms) {
         for (String id : List.of("e1", "e2", "e3")) {
             FakeEndpoint endpoint = new FakeEndpoint(loop, id, id.equals("e1"), maxConnections);
@@ -78,57 +78,57 @@
         tick();
     }
 
-    /** A caller of a database with the configured key. */
+    /** Connects a caller to a database with the configured key. */
     public FakeCaller connectCaller(String database) {
         return new FakeCaller(sessions, database, KEY);
     }
 
-    /** An endpoint: e1 starts as the primary, e2 is in the VM's data centre. */
+    /** Returns an endpoint; e1 starts as the primary, e2 is in the VM's data centre. */
     public FakeEndpoint endpoint(String id) {
         return endpoints.get(id);
     }
 
-    /** Lets time pass. */
+    /** Advances the virtual time. */
     public void advance(long millis) {
         loop.advance(millis);
     }
 
-    /** Suspends the VM: the time of day goes on, the monotonic clock stands still. */
+    /** Suspends the VM: the time of day advances, the monotonic clock does not. */
     public void suspend(long millis) {
         suspendedMillis += millis;
     }
 
-    /** The decision thread. */
+    /** Returns the decision thread. */
     public ManualLoop loop() {
         return loop;
     }
 
-    /** All groups of the VM. */
+    /** Returns the groups of the VM. */
     public DatabaseGroups groups() {
         return groups;
     }
 
-    /** The sessions of the VM. */
+    /** Returns the sessions of the VM. */
     public Sessions sessions() {
         return sessions;
     }
 
-    /** Endpoints for which the VM reported a shortage of connections. */
+    /** Returns the endpoints for which the VM reported a connection shortage. */
     public List<String> shortages() {
         return shortages;
     }
 
-    /** The group. */
+    /** Returns the group. */
     public DatabaseGroup group() {
         return groups.find(GROUP).get();
     }
 
-    /** The configuration in force. */
+    /** Returns the current configuration. */
     public Catalog catalog() {
         return catalog;
     }
 
-    /** Puts a configuration in force. */
+    /** Applies a configuration. */
     public void configure(Catalog next, int vms) {
         catalog = next;
         groups.update(next, entries, vms);
@@ -136,26 +136,26 @@
         sessions.configure(next);
     }
 
-    /** A VM that has not yet read a configuration. */
+    /** Starts a VM that has not yet read a configuration. */
     public static TestPool unconfigured() {
         TestPool pool = new TestPool(16, 6);
         pool.sessions.configure(Catalog.EMPTY);
         return pool;
     }
 
-    /** Takes a change of an endpoint's entry. */
+    /** Applies a changed entry of an endpoint. */
     public void updateEndpoint(Endpoint changed, int vms) {
         entries.removeIf(entry -> entry.id().equals(changed.id()));
         entries.add(changed);
         groups.update(catalog, entries, vms);
     }
 
-    /** A configuration with the three routes. */
+    /** Returns a configuration with the three routes. */
     public static Catalog catalog(int maxConnections, Map<String, Account> accounts) {
         return catalog(maxConnections, 0, accounts);
     }
 
-    /** A configuration whose group acknowledges a commit once some replicas have it. */
+    /** Returns a configuration whose group acknowledges a commit once some replicas hold it. */
     public static Catalog catalog(int maxConnections, int syncReplicas, Map<String, Account> accounts) {
         return Catalog.of(
                 1,
@@ -168,7 +168,7 @@
                 3_000);
     }
 
-    /** An account without a limit that matters. */
+    /** Returns an account whose limit is never reached. */
     public static Account account(String name) {
         return new Account(name, Option.some(new Rate(1e6, 1e6)));
     }
@@ -184,7 +184,7 @@
         loop.schedule(TICK_MILLIS, this::tick);
     }
 
-    /** A fleet of which this VM reaches no other. */
+    /** Links of a VM that reaches no other VM. */
     private static final class UnreachablePeers implements PeerLinks {
 
         @Override
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPoolFleet.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/TestPoolFleet.java
@@ -23,13 +23,13 @@
 import org.hyssopswitch.pool.session.RequestMetrics;
 import org.hyssopswitch.pool.session.Sessions;
 
-/** Many VMs in two data centres before a group of three endpoints with few connections, all in virtual time. */
+/** Many VMs in two data centres that serve a group of three endpoints with few connections, in virtual time. */
 public final class TestPoolFleet {
 
     private static final String GROUP = "group";
     private static final long TICK_MILLIS = 20;
 
-    /** Time until the limits of the accounts admit operations, milliseconds. */
+    /** Time until the accounts' limits admit operations, milliseconds. */
     private static final long SETTLE_MILLIS = 100;
 
     private final ManualLoop loop = new ManualLoop();
@@ -39,7 +39,7 @@
     private final List<Vm> vms = new ArrayList<>();
     private final int accounts;
 
-    /** Starts VMs that lend connections to each other, or each connect for themselves. */
+    /** Starts VMs that lend connections to each other, or that each open their own. */
     public TestPoolFleet(int vmCount, int maxConnections, int accounts, boolean lending) {
         this.accounts = accounts;
         for (String id : List.of("e1", "e2", "e3")) {
@@ -64,22 +64,22 @@
         advance(SETTLE_MILLIS);
     }
 
-    /** The key of one of the accounts. */
+    /** Returns the key of one of the accounts. */
     public String key(int account) {
         return "key-" + Math.floorMod(account, accounts);
     }
 
-    /** A caller at one of the VMs. */
+    /** Connects a caller to one of the VMs. */
     public FakeCaller connectCaller(int vm, String database, int account) {
         return new FakeCaller(vms.get(vm).sessions, database, key(account));
     }
 
-    /** An endpoint: e1 starts as the primary. */
+    /** Returns an endpoint; e1 starts as the primary. */
     public FakeEndpoint endpoint(String id) {
         return endpoints.get(id);
     }
 
-    /** The VM that lends connections to an endpoint, by its number. */
+    /** Returns the index of the VM that lends connections to an endpoint. */
     public int lenderIndex(String endpointId) {
         Endpoint entry = entries.stream()
                 .filter(listed -> listed.id().equals(endpointId))
@@ -98,22 +98,22 @@
         vms.get(vm).lender.stop();
     }
 
-    /** Connections of a VM that are lent or asked for. */
+    /** Returns the number of connections of a VM that are lent or requested. */
     public int leaseCount(int vm) {
         return vms.get(vm).lender.leaseCount();
     }
 
-    /** Number of VMs. */
+    /** Returns the number of VMs. */
     public int size() {
         return vms.size();
     }
 
-    /** The network between the VMs. */
+    /** Returns the network between the VMs. */
     public FakePeerNetwork network() {
         return network;
     }
 
-    /** Lets time pass. */
+    /** Advances the virtual time. */
     public void advance(long millis) {
         loop.advance(millis);
     }
