--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/CallerOperation.java
@@ -7,13 +7,13 @@
 import org.hyssopswitch.pool.catalog.Route;
 import org.hyssopswitch.pool.endpoint.ConnectionRequest;
 
-/** What a single statement and a transaction have in common while they wait for an endpoint. */
+/** Common part of autocommit statements and transactions, which wait for an endpoint. */
 abstract class CallerOperation implements ConnectionRequest {
 
-    /** Part of the latency objective for which an operation waits when no endpoint could run it. */
-    private static final double UNSERVABLE_WAIT_PART = 0.2;
+    /** Fraction of the latency objective for which an operation waits when no endpoint can run it. */
+    private static final double UNSERVABLE_WAIT_RATIO = 0.2;
 
-    private final Set<String> excluded = new HashSet<>();
+    private final Set<String> excludedEndpoints = new HashSet<>();
     private final CallerSession session;
     private final Route route;
     private final Account account;
@@ -59,12 +59,12 @@
 
     @Override
     public final long unavailableWaitMillis() {
-        return Math.round(route.objectiveMillis() * UNSERVABLE_WAIT_PART);
+        return Math.round(route.objectiveMillis() * UNSERVABLE_WAIT_RATIO);
     }
 
     @Override
     public final boolean excludes(String endpointId) {
-        return excluded.contains(endpointId);
+        return excludedEndpoints.contains(endpointId);
     }
 
     final CallerSession session() {
@@ -76,19 +76,19 @@
     }
 
     final void exclude(String endpointId) {
-        excluded.add(endpointId);
+        excludedEndpoints.add(endpointId);
     }
 
-    /** Queues the operation for an endpoint; it is refused when none is assigned within its latency objective. */
+    /** Queues the operation for an endpoint; it is refused if none is assigned within latency objective and timeout. */
     final void submit() {
-        long limit = Math.min(route.timeoutMillis(), route.objectiveMillis());
-        assignBeforeMillis = session.nowMillis() + limit;
+        long maxWaitMillis = Math.min(route.timeoutMillis(), route.objectiveMillis());
+        assignBeforeMillis = session.nowMillis() + maxWaitMillis;
         session.submit(this);
     }
 
-    /** Ends what has run too long; called every few milliseconds. */
+    /** Enforces the operation's time limits; called every few milliseconds. */
     abstract void tick(long nowMillis);
 
-    /** The caller is gone. */
+    /** Abandons the operation because its caller disconnected. */
     abstract void abandon();
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/session/Sessions.java
@@ -10,26 +10,26 @@
 import org.hyssopswitch.pool.quota.AccountLimiter;
 import org.hyssopswitch.pool.statement.ErrorCode;
 
-/** The sessions of this VM. */
+/** Registry of the sessions of this VM. */
 public final class Sessions {
 
-    /** Time without an answer after which a read is also sent to another endpoint, as a part of its objective. */
-    private static final double HEDGE_PART_OF_OBJECTIVE = 0.5;
+    /** Fraction of the latency objective after which an unanswered read is also sent to another endpoint. */
+    private static final double HEDGE_DELAY_RATIO = 0.5;
 
     private final DatabaseGroups groups;
     private final AccountLimiter limiter;
     private final RequestLog log;
     private final RequestMetrics metrics;
     private final LongSupplier clock;
-    private final Set<CallerSession> open = new LinkedHashSet<>();
+    private final Set<CallerSession> openSessions = new LinkedHashSet<>();
     private Catalog catalog = Catalog.EMPTY;
 
     /**
-     * Creates an empty table.
+     * Creates a registry without sessions.
      *
      * @param groups the database groups
-     * @param limiter limits of client accounts
-     * @param log log lines of requests
+     * @param limiter rate limiter of client accounts
+     * @param log log of requests
      * @param metrics counters and latencies of requests
      * @param clock milliseconds of the monotonic clock
      */
@@ -43,18 +43,18 @@
     }
 
     /**
-     * Takes the session of a new connection.
+     * Creates the session of a new connection.
      *
      * @param link the connection
      */
     public CallerSession accept(CallerLink link) {
         CallerSession session = new CallerSession(this, link);
-        open.add(session);
+        openSessions.add(session);
         return session;
     }
 
     /**
-     * Puts a configuration in force.
+     * Applies a configuration.
      *
      * @param next the configuration
      */
@@ -63,36 +63,39 @@
         tick();
     }
 
-    /** Number of open sessions. */
+    /** Returns the number of open sessions. */
     public int size() {
-        return open.size();
+        return openSessions.size();
     }
 
-    /** Ends what has run too long; called every few milliseconds. */
+    /** Enforces the time limits of all sessions; called every few milliseconds. */
     public void tick() {
         long now = nowMillis();
-        List.copyOf(open).forEach(session -> session.tick(now));
+        List.copyOf(openSessions).forEach(session -> session.tick(now));
     }
 
     /**
-     * Closes sessions whose callers wait for nothing and have no transaction open.
+     * Closes sessions that are not starting, have no statement running and no transaction open.
      *
-     * @param limit the greatest number to close
+     * @param limit maximum number of sessions to close
      */
     public void closeIdle(int limit) {
-        List.copyOf(open).stream().filter(CallerSession::isIdle).limit(limit).forEach(CallerSession::close);
+        List.copyOf(openSessions).stream()
+                .filter(CallerSession::isIdle)
+                .limit(limit)
+                .forEach(CallerSession::close);
     }
 
     /**
-     * Ends transactions whose callers are between two statements.
+     * Aborts transactions that have no statement running.
      *
-     * @param cause why, for the callers
+     * @param cause reason reported to the callers
      */
     public void abortIdleTransactions(String cause) {
-        List.copyOf(open).forEach(session -> session.abortIdleTransaction(cause));
+        List.copyOf(openSessions).forEach(session -> session.abortIdleTransaction(cause));
     }
 
-    /** Whether a configuration is in force. */
+    /** Whether a configuration was applied. */
     boolean hasConfiguration() {
         return catalog.version() >= 0;
     }
@@ -118,7 +121,7 @@
     }
 
     long hedgeAfterMillis(Route route) {
-        return Math.round(route.objectiveMillis() * HEDGE_PART_OF_OBJECTIVE);
+        return Math.round(route.objectiveMillis() * HEDGE_DELAY_RATIO);
     }
 
     void submit(CallerOperation operation) {
@@ -132,6 +135,6 @@
     }
 
     void remove(CallerSession session) {
-        open.remove(session);
+        openSessions.remove(session);
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/store/TableWatcher.java
@@ -9,16 +9,17 @@
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
 /**
- * Follows all objects of one kind: lists them, then watches for changes, and starts again when the history is gone.
+ * Keeps up with all objects of one kind: lists them, then watches for changes, and lists them again when the store no
+ * longer keeps the history of changes.
  *
- * @param <T> what the objects hold
+ * @param <T> type of the objects' values
  */
 public final class TableWatcher<T> {
 
-    /** Bounds of the pause after a failed call, milliseconds: the store's outages last seconds. */
-    private static final long MIN_PAUSE_MILLIS = 100;
+    /** Bounds of the delay before a failed call is retried, milliseconds: the store's outages last seconds. */
+    private static final long MIN_RETRY_DELAY_MILLIS = 100;
 
-    private static final long MAX_PAUSE_MILLIS = 800;
+    private static final long MAX_RETRY_DELAY_MILLIS = 800;
     private static final Logger LOG = LogManager.getLogger(TableWatcher.class);
 
     private final String name;
@@ -27,11 +28,11 @@
     private final DecisionLoop loop;
     private final LongSupplier clock;
     private final Backoff backoff;
-    private final long waitMillis;
+    private final long maxWaitMillis;
     private long revision = -1;
     private boolean paused;
     private boolean watching;
-    private int failures;
+    private int consecutiveFailures;
     private long failedSinceMillis;
 
     /**
@@ -39,8 +40,8 @@
      *
      * @param name what is watched, for logs
      * @param table the objects
-     * @param listener takes what is read
-     * @param waitMillis longest wait of one watch, milliseconds; an answer that is lost delays changes by as much
+     * @param listener receives what is read
+     * @param maxWaitMillis maximum wait of one watch, milliseconds; a lost answer delays changes by up to this time
      * @param loop the decision thread
      * @param random source of the backoff's jitter
      */
@@ -48,29 +49,29 @@
             String name,
             ObjectTable<T> table,
             Listener<T> listener,
-            long waitMillis,
+            long maxWaitMillis,
             DecisionLoop loop,
             RandomGenerator random) {
         this.name = name;
         this.table = table;
         this.listener = listener;
-        this.waitMillis = waitMillis;
+        this.maxWaitMillis = maxWaitMillis;
         this.loop = loop;
         this.clock = loop::nowMillis;
-        this.backoff = new Backoff(MIN_PAUSE_MILLIS, MAX_PAUSE_MILLIS, random);
+        this.backoff = new Backoff(MIN_RETRY_DELAY_MILLIS, MAX_RETRY_DELAY_MILLIS, random);
     }
 
-    /** Starts to follow the objects. */
+    /** Starts to list and watch the objects. */
     public void start() {
         list();
     }
 
-    /** Watches no longer; the first list is read all the same. */
+    /** Stops watching after the watch in flight; the first list is read all the same. */
     public void pause() {
         paused = true;
     }
 
-    /** Watches again. */
+    /** Resumes watching. */
     public void resume() {
         paused = false;
         if (!watching && revision >= 0) {
@@ -78,9 +79,9 @@
         }
     }
 
-    /** Whether the store answered the latest call. */
+    /** Whether the objects were listed and the latest call succeeded. */
     public boolean isCurrent() {
-        return revision >= 0 && failures == 0;
+        return revision >= 0 && consecutiveFailures == 0;
     }
 
     private void list() {
@@ -103,7 +104,7 @@
         if (paused) {
             return;
         }
-        table.watch(revision, waitMillis, this::handleWatchResult);
+        table.watch(revision, maxWaitMillis, this::handleWatchResult);
     }
 
     private void handleWatchResult(Either<StoreFailure, Listing<T>> result) {
@@ -123,35 +124,35 @@
     }
 
     private void callSucceeded() {
-        if (failures > 0) {
+        if (consecutiveFailures > 0) {
             LOG.info(
                     "event=store_regained table={} failures={} away_ms={}",
                     name,
-                    failures,
+                    consecutiveFailures,
                     clock.getAsLong() - failedSinceMillis);
-            failures = 0;
+            consecutiveFailures = 0;
             listener.storeRecovered();
         }
     }
 
-    private void retry(StoreFailure failure, Runnable again) {
-        if (failures == 0) {
+    private void retry(StoreFailure failure, Runnable call) {
+        if (consecutiveFailures == 0) {
             failedSinceMillis = clock.getAsLong();
             LOG.warn("event=store_lost table={} cause=\"{}\"", name, failure.describe());
         }
-        failures++;
-        loop.schedule(backoff.delayMillis(failures), again);
+        consecutiveFailures++;
+        loop.schedule(backoff.delayMillis(consecutiveFailures), call);
     }
 
     /**
-     * Takes what a watcher reads.
+     * Receives what a watcher reads.
      *
-     * @param <T> what the objects hold
+     * @param <T> type of the objects' values
      */
     public interface Listener<T> {
 
         /**
-         * All objects were read; what is not among them does not exist.
+         * All objects were read; an object that is not among them does not exist.
          *
          * @param all the objects
          */
@@ -164,7 +165,7 @@
          */
         void changed(Listing<T> changes);
 
-        /** The store answers again after a failure; called before what it answered. */
+        /** The store answers again after a failure; called before its answer is delivered. */
         void storeRecovered();
     }
 }
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/session/SessionStartTests.java
@@ -10,7 +10,7 @@
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
-/** Callers that connect while a restarted VM has not yet read the configuration. */
+/** Callers that connect before a restarted VM has read the configuration. */
 class SessionStartTests {
 
     private final TestPool pool = TestPool.unconfigured();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void closesANewSessionBeforeItsCallerGivesUp() {
+    void closesANewSessionBeforeItsCallerTimesOut() {
         FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         pool.advance(1_960);
         assertTrue(caller.isClosed());
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeCaller.java
@@ -11,16 +11,16 @@
 import org.hyssopswitch.pool.statement.Reply;
 import org.hyssopswitch.pool.statement.StatementOutcome;
 
-/** A caller that keeps what it was told. */
+/** A caller that records the replies and refusals it receives. */
 public final class FakeCaller implements CallerLink {
 
     private final List<Reply> replies = new ArrayList<>();
     private final List<ErrorCode> refusals = new ArrayList<>();
     private final CallerSession session;
-    private boolean greeted;
+    private boolean sessionOpen;
     private boolean closed;
 
-    /** Connects to a VM. */
+    /** Opens a session at a VM. */
     public FakeCaller(Sessions sessions, String database, String key) {
         session = sessions.accept(this);
         session.start(database, key);
@@ -47,29 +47,29 @@
         send(id, new CallerStatement.Execute("s1", "a"));
     }
 
-    /** All answers. */
+    /** Returns all replies. */
     public List<Reply> replies() {
         return List.copyOf(replies);
     }
 
-    /** The latest answer. */
+    /** Returns the latest reply. */
     public Reply lastReply() {
         return replies.get(replies.size() - 1);
     }
 
-    /** The code of the latest answer. */
+    /** Returns the error code of the latest reply. */
     public ErrorCode lastError() {
         return ((StatementOutcome.Failed) lastReply().outcome()).code();
     }
 
-    /** Why the session was refused. */
+    /** Returns the codes with which the session was refused. */
     public List<ErrorCode> refusals() {
         return List.copyOf(refusals);
     }
 
     /** Whether the session was opened. */
     public boolean isSessionOpen() {
-        return greeted;
+        return sessionOpen;
     }
 
     /** Whether the VM closed the connection. */
@@ -84,7 +84,7 @@
 
     @Override
     public void acceptSession() {
-        greeted = true;
+        sessionOpen = true;
     }
 
     @Override
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakeEndpoint.java
@@ -19,33 +19,33 @@
 import org.hyssopswitch.pool.statement.StatementOutcome;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
-/** A database server that answers in virtual time and keeps what it ran. */
+/** A database endpoint that replies in virtual time and records the statements it executed. */
 public final class FakeEndpoint {
 
-    /** Milliseconds until an answer arrives. */
-    private static final long ANSWER_MILLIS = 2;
+    /** Delay of a reply, milliseconds. */
+    private static final long REPLY_DELAY_MILLIS = 2;
 
-    private static final long OPEN_MILLIS = 12;
+    private static final long CONNECT_DELAY_MILLIS = 12;
 
     private final ManualLoop loop;
-    private final List<String> ran = new ArrayList<>();
-    private final Map<String, Map<String, String>> valuesAt = new HashMap<>();
+    private final List<String> executedStatements = new ArrayList<>();
+    private final Map<String, Map<String, String>> valuesByStatement = new HashMap<>();
     private final List<Link> links = new ArrayList<>();
     private final int maxConnections;
     private final String id;
     private boolean primary;
-    private boolean up = true;
-    private boolean silent;
-    private boolean busy;
+    private boolean running = true;
+    private boolean unresponsive;
+    private boolean overloaded;
     private long workMillis;
     private LogPosition position = new LogPosition(1, 10);
-    private int opened;
-    private int asked;
-    private boolean foreign;
-    private boolean full;
-    private int refusedFull;
+    private int openedConnections;
+    private int connectAttempts;
+    private boolean misrouted;
+    private boolean connectionsExhausted;
+    private int rejectedConnections;
 
-    /** Creates an endpoint that is up. */
+    /** Creates an endpoint that is running. */
     public FakeEndpoint(ManualLoop loop, String id, boolean primary, int maxConnections) {
         this.loop = loop;
         this.id = id;
@@ -53,37 +53,37 @@
         this.maxConnections = maxConnections;
     }
 
-    /** The entry that the platform lists. */
+    /** Returns the entry that the platform lists. */
     public Endpoint entry(String group, String dataCentre, long revision) {
         return new Endpoint(id, group, "10.0.0.1", 1000, dataCentre, false, primary, 1, 0, revision);
     }
 
-    /** Identifiers of the callers' statements that were run, in order. */
+    /** Returns the identifiers of the callers' statements that were executed, in order. */
     public List<String> executedStatements() {
-        return List.copyOf(ran);
+        return List.copyOf(executedStatements);
     }
 
-    /** The session values under which a statement ran. */
+    /** Returns the session values under which a statement was executed. */
     public Map<String, String> sessionValues(String statementId) {
-        return valuesAt.get(statementId);
+        return valuesByStatement.get(statementId);
     }
 
-    /** Connections opened so far. */
+    /** Returns the number of connections opened so far. */
     public int openedConnections() {
-        return opened;
+        return openedConnections;
     }
 
-    /** Connections open now. */
+    /** Returns the number of connections open now. */
     public int openConnections() {
         return links.size();
     }
 
-    /** The log position. */
+    /** Returns the log position. */
     public LogPosition position() {
         return position;
     }
 
-    /** Reads the row in which a fake endpoint answers a query of its status. */
+    /** Decodes the row with which a fake endpoint replies to a status query. */
     public static Option<ReplicationStatus> decodeStatus(String row) {
         String[] fields = row.split(" ", -1);
         long term = Long.parseLong(fields[1]);
@@ -91,65 +91,65 @@
                 Boolean.parseBoolean(fields[0]), term, new LogPosition(term, Long.parseLong(fields[2]))));
     }
 
-    /** Whether it is the primary. */
+    /** Whether the endpoint is the primary. */
     public boolean isPrimary() {
         return primary;
     }
 
-    /** Moves the log. */
+    /** Sets the log position. */
     public void setPosition(LogPosition next) {
         position = next;
     }
 
-    /** Makes it the primary or a replica. */
-    public void setPrimary(boolean leads) {
-        primary = leads;
+    /** Makes the endpoint the primary or a replica. */
+    public void setPrimary(boolean isPrimary) {
+        primary = isPrimary;
     }
 
-    /** Time that a read or write takes, milliseconds. */
+    /** Sets the time that a read or write takes, milliseconds. */
     public void setWorkMillis(long millis) {
         workMillis = millis;
     }
 
-    /** Refuses all work for lack of capacity. */
-    public void setOverloaded(boolean refuses) {
-        busy = refuses;
+    /** Refuses reads and writes as overloaded. */
+    public void setOverloaded(boolean refuse) {
+        overloaded = refuse;
     }
 
-    /** Takes whatever arrives and answers nothing. */
-    public void setUnresponsive(boolean mute) {
-        silent = mute;
+    /** Ignores all connections and commands without a reply. */
+    public void setUnresponsive(boolean ignoreCommands) {
+        unresponsive = ignoreCommands;
     }
 
-    /** Refuses connections as if other VMs held all of them. */
-    public void setConnectionsExhausted(boolean refuses) {
-        full = refuses;
+    /** Refuses connections as if other VMs used up its limit. */
+    public void setConnectionsExhausted(boolean refuse) {
+        connectionsExhausted = refuse;
     }
 
-    /** Refuses connections because the address belongs to another process now. */
-    public void setMisrouted(boolean other) {
-        foreign = other;
+    /** Refuses connections as if another process now used its address. */
+    public void setMisrouted(boolean otherProcess) {
+        misrouted = otherProcess;
     }
 
-    /** Connections that were asked for so far. */
+    /** Returns the number of connection attempts so far. */
     public int connectAttempts() {
-        return asked;
+        return connectAttempts;
     }
 
-    /** Connections refused so far because it had enough. */
+    /** Returns the number of connections refused so far because the limit was reached. */
     public int rejectedConnections() {
-        return refusedFull;
+        return rejectedConnections;
     }
 
-    /** Ends the process: connections break and none can be opened. */
+    /** Crashes the process: connections break and none can be opened. */
     public void crash() {
-        up = false;
+        running = false;
         breakConnections();
     }
 
     /** Accepts connections again. */
     public void restart() {
-        up = true;
+        running = true;
     }
 
     /** Breaks all connections. */
@@ -162,22 +162,22 @@
 
     /** Opens a connection. */
     public EndpointLink connect(Account account, EndpointLink.Listener listener) {
-        asked++;
+        connectAttempts++;
         Link link = new Link(listener);
-        if (silent) {
+        if (unresponsive) {
             return link;
         }
-        loop.schedule(OPEN_MILLIS, () -> {
-            if (!up) {
+        loop.schedule(CONNECT_DELAY_MILLIS, () -> {
+            if (!running) {
                 listener.closed();
-            } else if (foreign) {
+            } else if (misrouted) {
                 listener.refused(ErrorCode.MISROUTED);
-            } else if (full || links.size() >= maxConnections) {
-                refusedFull++;
+            } else if (connectionsExhausted || links.size() >= maxConnections) {
+                rejectedConnections++;
                 listener.refused(ErrorCode.TOO_MANY_CONNECTIONS);
             } else if (!link.closed) {
                 links.add(link);
-                opened++;
+                openedConnections++;
                 listener.opened(Option.some(position));
             }
         });
@@ -201,13 +201,15 @@
 
         @Override
         public void send(List<EndpointCommand> commands) {
-            if (silent) {
+            if (unresponsive) {
                 return;
             }
             for (EndpointCommand command : commands) {
-                boolean works =
+                boolean runsStatement =
                         command instanceof EndpointCommand.Forward || command instanceof EndpointCommand.Execute;
-                freeAtMillis = Math.max(freeAtMillis, loop.nowMillis()) + ANSWER_MILLIS + (works ? workMillis : 0);
+                freeAtMillis = Math.max(freeAtMillis, loop.nowMillis())
+                        + REPLY_DELAY_MILLIS
+                        + (runsStatement ? workMillis : 0);
                 loop.schedule(freeAtMillis - loop.nowMillis(), () -> answer(command));
             }
         }
@@ -219,7 +221,7 @@
         }
 
         private void answer(EndpointCommand command) {
-            if (closed || !links.contains(this) || silent) {
+            if (closed || !links.contains(this) || unresponsive) {
                 return;
             }
             StatementOutcome outcome = run(command);
@@ -293,7 +295,7 @@
         }
 
         private StatementOutcome work(String statementId, String text, Option<LogPosition> floor, boolean write) {
-            if (busy) {
+            if (overloaded) {
                 return failed(ErrorCode.OVERLOADED);
             }
             boolean open = status == TransactionStatus.OPEN;
@@ -303,8 +305,8 @@
             if (floor.exists(needed -> needed.compareTo(position) > 0)) {
                 return failed(ErrorCode.LAGGING);
             }
-            ran.add(statementId);
-            valuesAt.put(statementId, Map.copyOf(values));
+            executedStatements.add(statementId);
+            valuesByStatement.put(statementId, Map.copyOf(values));
             wrote |= write;
             if (text.startsWith("COMMIT") || (write && !open)) {
                 status = TransactionStatus.IDLE;
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/testing/FakePeerNetwork.java
@@ -10,15 +10,15 @@
 import org.hyssopswitch.core.message.PeerMessage;
 import org.hyssopswitch.pool.peer.PeerLinks;
 
-/** The links between some VMs, with VMs that are cut off. */
+/** The links between some VMs, with network partitions and lost messages. */
 public final class FakePeerNetwork {
 
     private static final long DELIVERY_MILLIS = 2;
 
     private final ManualLoop loop;
     private final Map<String, BiConsumer<String, PeerMessage>> receivers = new LinkedHashMap<>();
-    private final Set<String> cut = new HashSet<>();
-    private final Set<Class<? extends PeerMessage>> dropped = new HashSet<>();
+    private final Set<String> partitioned = new HashSet<>();
+    private final Set<Class<? extends PeerMessage>> dropNextTypes = new HashSet<>();
 
     /** Creates a network without VMs. */
     public FakePeerNetwork(ManualLoop loop) {
@@ -31,18 +31,18 @@
         return new Links(vm);
     }
 
-    /** Cuts a VM off from all others, or ends the cut. */
-    public void setPartitioned(String vm, boolean off) {
-        if (off) {
-            cut.add(vm);
+    /** Partitions a VM from all others, or ends the partition. */
+    public void setPartitioned(String vm, boolean partition) {
+        if (partition) {
+            partitioned.add(vm);
         } else {
-            cut.remove(vm);
+            partitioned.remove(vm);
         }
     }
 
-    /** Loses the next message of a type. */
+    /** Drops the next message of a type. */
     public void dropNext(Class<? extends PeerMessage> type) {
-        dropped.add(type);
+        dropNextTypes.add(type);
     }
 
     private final class Links implements PeerLinks {
@@ -55,12 +55,12 @@
 
         @Override
         public void send(String vm, PeerMessage message) {
-            if (dropped.remove(message.getClass())) {
+            if (dropNextTypes.remove(message.getClass())) {
                 return;
             }
             loop.schedule(DELIVERY_MILLIS, () -> {
                 BiConsumer<String, PeerMessage> receiver = receivers.get(vm);
-                if (receiver != null && !cut.contains(vm) && !cut.contains(self)) {
+                if (receiver != null && !partitioned.contains(vm) && !partitioned.contains(self)) {
                     receiver.accept(self, message);
                 }
             });
