--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountLedger.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountLedger.java
@@ -19,23 +19,23 @@
  */
 final class AccountLedger {
 
-    private static final double LENT_RATE = 0.85;
-    private static final double LENT_BURST = 0.6;
-    private static final double MIN_LENT_BURST = 4;
-    private static final double MIN_UNMET = 0.1;
-    private static final double RECALL_ABOVE = 1.2;
-    private static final double SATISFIED_ABOVE = 0.9;
+    private static final double LENT_RATE_FRACTION = 0.85;
+    private static final double LENT_BURST_FRACTION = 0.6;
+    private static final double MIN_LENT_BURST_TOKENS = 4;
+    private static final double MIN_UNMET_TOKENS = 0.1;
+    private static final double RECALL_FACTOR = 1.2;
+    private static final double SATISFIED_FRACTION = 0.9;
     private static final long RECALL_INTERVAL_MILLIS = 100;
 
     private final ClientAccountId account;
     private final long epoch;
     private final LimitSettings settings;
     private final LongSupplier grantNumbers;
-    private final Map<VmId, LentShare> loans = new HashMap<>();
+    private final Map<VmId, LentShare> shares = new HashMap<>();
     private final TokenBucket pool;
     private final long adoptUntilMillis;
     private RateShare part;
-    private RateShare base;
+    private RateShare lendable;
     private RateShare adopted = RateShare.NONE;
 
     /**
@@ -56,7 +56,7 @@
         this.grantNumbers = grantNumbers;
         this.adoptUntilMillis = adoptUntilMillis;
         this.part = RateShare.NONE;
-        this.base = RateShare.NONE;
+        this.lendable = RateShare.NONE;
         this.pool = new TokenBucket(0, 0, nowMillis);
     }
 
@@ -67,20 +67,20 @@
     /** Sets the part of this data centre; what exceeds the former part is not lent before {@link #grow}. */
     void updatePart(RateShare next, boolean grow, long nowMillis) {
         part = next;
-        base = grow ? next : base.min(next);
+        lendable = grow ? next : lendable.min(next);
         adopted = adopted.min(next);
         resizePool(nowMillis);
     }
 
     /** Allows the whole part to be lent, after the other data centres are known to have shrunk. */
     void grow(long nowMillis) {
-        base = part;
+        lendable = part;
         resizePool(nowMillis);
     }
 
     /** Whether the whole part may be lent. */
     boolean isGrown() {
-        return base.equals(part);
+        return lendable.equals(part);
     }
 
     /** Whether all shares that may be in use are within the part. */
@@ -90,8 +90,8 @@
 
     /** Whether nothing is lent and nobody asks, so that the ledger may be forgotten once its pool is full. */
     boolean isIdle(long nowMillis) {
-        loans.values().removeIf(l -> l.demand() <= 0 && l.committed(nowMillis).equals(RateShare.NONE));
-        return loans.isEmpty() && nowMillis >= adoptUntilMillis && isGrown() && pool.tokens(nowMillis) >= pool.burst();
+        shares.values().removeIf(s -> s.demand() <= 0 && s.committed(nowMillis).equals(RateShare.NONE));
+        return shares.isEmpty() && nowMillis >= adoptUntilMillis && isGrown() && pool.tokens(nowMillis) >= pool.burst();
     }
 
     /** Fills the pool with what has accrued in a time in which nothing was lent. */
@@ -102,26 +102,26 @@
 
     /** Drops the shares of holders that have ended. */
     void removeHolders(Predicate<VmAddress> gone, long nowMillis) {
-        if (loans.values().removeIf(l -> gone.test(l.holder()))) {
+        if (shares.values().removeIf(s -> gone.test(s.holder()))) {
             resizePool(nowMillis);
         }
     }
 
     /** Handles a holder's report and returns the share that it is granted. */
     ShareLease lend(VmAddress holder, ShareReport report, long nowMillis) {
-        LentShare loan = findOrCreateShare(holder);
-        double before = loan.committed(nowMillis).burst();
-        applyReport(loan, report, nowMillis);
+        LentShare share = findOrCreateShare(holder);
+        double before = share.committed(nowMillis).burst();
+        applyReport(share, report, nowMillis);
         resizePool(nowMillis);
         // Returned tokens were covered by the burst that this report gives up; more could exceed the burst as a whole.
-        double freed = Math.max(0, before - loan.committed(nowMillis).burst());
+        double freed = Math.max(0, before - share.committed(nowMillis).burst());
         pool.deposit(Math.min(report.returnedTokens(), freed), nowMillis);
-        RateShare target = targetShare(loan, report.wantedTokens(), nowMillis);
+        RateShare target = targetShare(share, report.wantedTokens(), nowMillis);
         if (target.rate() <= 0 && report.epoch() == epoch) {
             target = new RateShare(0, target.burst() + report.burst());
         }
-        RateShare room = limit(nowMillis).minus(committed(l -> l != loan, nowMillis));
-        return grant(loan, noneIfBelowOneToken(target.min(room)), report, nowMillis);
+        RateShare room = limit(nowMillis).minus(committed(s -> s != share, nowMillis));
+        return grant(share, noneIfBelowOneToken(target.min(room)), report, nowMillis);
     }
 
     /** The recalls that let an unsatisfied holder have its target, or that bring all shares within a smaller limit. */
@@ -130,12 +130,13 @@
         if (!needsRecall(nowMillis)) {
             return recalls;
         }
-        for (LentShare loan : loans.values()) {
-            RateShare most = noneIfBelowOneToken(targetShare(loan, 0, nowMillis));
-            RateShare latest = loan.latestGranted(nowMillis);
-            boolean above = latest.rate() > most.rate() * RECALL_ABOVE || latest.burst() > most.burst() * RECALL_ABOVE;
-            if (above && nowMillis - loan.lastRecallMillis() >= RECALL_INTERVAL_MILLIS) {
-                recalls.add(new Recall(loan.holder(), recall(loan, latest.min(most), nowMillis)));
+        for (LentShare share : shares.values()) {
+            RateShare allowed = noneIfBelowOneToken(targetShare(share, 0, nowMillis));
+            RateShare latest = share.latestGranted(nowMillis);
+            boolean above =
+                    latest.rate() > allowed.rate() * RECALL_FACTOR || latest.burst() > allowed.burst() * RECALL_FACTOR;
+            if (above && nowMillis - share.lastRecallMillis() >= RECALL_INTERVAL_MILLIS) {
+                recalls.add(new Recall(share.holder(), recall(share, latest.min(allowed), nowMillis)));
             }
         }
         return recalls;
@@ -145,79 +146,80 @@
         if (!committed(nowMillis).fitsWithin(limit(nowMillis))) {
             return true;
         }
-        return loans.values().stream().anyMatch(l -> {
-            if (l.unmetTokens() > MIN_UNMET) {
+        return shares.values().stream().anyMatch(s -> {
+            if (s.unmetTokens() > MIN_UNMET_TOKENS) {
                 return true;
             }
-            RateShare target = targetShare(l, 0, nowMillis);
-            RateShare latest = l.latestGranted(nowMillis);
-            return latest.rate() < SATISFIED_ABOVE * target.rate() || latest.burst() < SATISFIED_ABOVE * target.burst();
+            RateShare target = targetShare(s, 0, nowMillis);
+            RateShare latest = s.latestGranted(nowMillis);
+            return latest.rate() < SATISFIED_FRACTION * target.rate()
+                    || latest.burst() < SATISFIED_FRACTION * target.burst();
         });
     }
 
     private LentShare findOrCreateShare(VmAddress holder) {
-        LentShare loan = loans.get(holder.vm());
+        LentShare share = shares.get(holder.vm());
         // A higher incarnation proves that the earlier one has ended and with it its share.
-        if (loan == null || loan.holder().incarnation() < holder.incarnation()) {
-            loan = new LentShare(holder);
-            loans.put(holder.vm(), loan);
+        if (share == null || share.holder().incarnation() < holder.incarnation()) {
+            share = new LentShare(holder);
+            shares.put(holder.vm(), share);
         }
-        return loan;
+        return share;
     }
 
-    private void applyReport(LentShare loan, ShareReport report, long nowMillis) {
+    private void applyReport(LentShare share, ShareReport report, long nowMillis) {
         RateShare held = new RateShare(report.rate(), report.burst());
         if (report.epoch() == epoch) {
-            loan.confirmGrant(report.appliedGrant(), held, nowMillis);
+            share.confirmGrant(report.appliedGrant(), held, nowMillis);
         } else if (nowMillis < adoptUntilMillis && report.epoch() > 0 && report.epoch() < epoch) {
-            adopt(loan, held, nowMillis);
+            adopt(share, held, nowMillis);
         }
-        loan.setDemand(report.demand());
+        share.setDemand(report.demand());
     }
 
     /** Takes over a share granted by the former owner, which cannot change it any more. */
-    private void adopt(LentShare loan, RateShare held, long nowMillis) {
-        RateShare before = loan.committed(nowMillis);
-        loan.recordGrant(0, held, settings.minLeaseMillis(), adoptUntilMillis);
-        adopted = adopted.plus(loan.committed(nowMillis).minus(before)).min(part);
-        base = base.max(adopted);
+    private void adopt(LentShare share, RateShare held, long nowMillis) {
+        RateShare before = share.committed(nowMillis);
+        share.recordGrant(0, held, settings.minLeaseMillis(), adoptUntilMillis);
+        adopted = adopted.plus(share.committed(nowMillis).minus(before)).min(part);
+        lendable = lendable.max(adopted);
     }
 
-    private ShareLease grant(LentShare loan, RateShare granted, ShareReport report, long nowMillis) {
-        long duration = loan.nextDurationMillis(granted, settings, nowMillis);
-        long number = grantNumbers.getAsLong();
-        double added = Math.max(0, granted.burst() - loan.committed(nowMillis).burst());
+    private ShareLease grant(LentShare share, RateShare granted, ShareReport report, long nowMillis) {
+        long duration = share.nextDurationMillis(granted, settings, nowMillis);
+        long grantNumber = grantNumbers.getAsLong();
+        double added = Math.max(0, granted.burst() - share.committed(nowMillis).burst());
         // Tokens on their way need room that nobody else fills: burst added by this grant, or reserved by the holder.
         double room = Math.min(granted.burst(), added + report.reservedTokens());
         double surplus = pool.tokens(nowMillis) - Math.max(0, pool.burst() - added);
         double tokens = pool.withdraw(Math.min(room, Math.max(report.wantedTokens(), surplus)), nowMillis);
-        loan.recordGrant(number, granted, duration, nowMillis + settings.lenderMillis(duration));
-        loan.setUnmetTokens(report.wantedTokens() - tokens);
+        share.recordGrant(grantNumber, granted, duration, nowMillis + settings.lenderLeaseMillis(duration));
+        share.setUnmetTokens(report.wantedTokens() - tokens);
         resizePool(nowMillis);
-        return new ShareLease(account, epoch, number, granted.rate(), granted.burst(), tokens, duration);
+        return new ShareLease(account, epoch, grantNumber, granted.rate(), granted.burst(), tokens, duration);
     }
 
-    private ShareLease recall(LentShare loan, RateShare amount, long nowMillis) {
-        long number = grantNumbers.getAsLong();
-        loan.recordRecall(number, amount, nowMillis);
-        return new ShareLease(account, epoch, number, amount.rate(), amount.burst(), 0, 0);
+    private ShareLease recall(LentShare share, RateShare amount, long nowMillis) {
+        long grantNumber = grantNumbers.getAsLong();
+        share.recordRecall(grantNumber, amount, nowMillis);
+        return new ShareLease(account, epoch, grantNumber, amount.rate(), amount.burst(), 0, 0);
     }
 
     /** The share that a holder should have by its part of the demand. */
-    private RateShare targetShare(LentShare loan, double wantedTokens, long nowMillis) {
-        double total = loans.values().stream().mapToDouble(LentShare::demand).sum();
-        if (total <= 0 || loan.demand() <= 0) {
+    private RateShare targetShare(LentShare share, double wantedTokens, long nowMillis) {
+        double total = shares.values().stream().mapToDouble(LentShare::demand).sum();
+        if (total <= 0 || share.demand() <= 0) {
             return RateShare.NONE;
         }
-        double fraction = loan.demand() / total;
+        double fraction = share.demand() / total;
         RateShare limit = limit(nowMillis);
         double tokens = Math.min(wantedTokens, pool.tokens(nowMillis));
-        double burst = limit.burst() * LENT_BURST * fraction;
-        if (burst < MIN_LENT_BURST) {
+        double burst = limit.burst() * LENT_BURST_FRACTION * fraction;
+        if (burst < MIN_LENT_BURST_TOKENS) {
             // Small parts stay in the pool, which hands out tokens as they are needed.
             return new RateShare(0, tokens);
         }
-        return new RateShare(limit.rate() * LENT_RATE * fraction, Math.max(burst, tokens));
+        return new RateShare(limit.rate() * LENT_RATE_FRACTION * fraction, Math.max(burst, tokens));
     }
 
     /** A share with a rate but without a whole token of burst is better left in the pool. */
@@ -226,33 +228,33 @@
     }
 
     private RateShare limit(long nowMillis) {
-        return nowMillis < adoptUntilMillis ? adopted : base;
+        return nowMillis < adoptUntilMillis ? adopted : lendable;
     }
 
     private RateShare committed(long nowMillis) {
-        return committed(l -> true, nowMillis);
+        return committed(s -> true, nowMillis);
     }
 
     private RateShare committed(Predicate<LentShare> counted, long nowMillis) {
         RateShare sum = RateShare.NONE;
-        for (LentShare loan : loans.values()) {
-            if (counted.test(loan)) {
-                sum = sum.plus(loan.committed(nowMillis));
+        for (LentShare share : shares.values()) {
+            if (counted.test(share)) {
+                sum = sum.plus(share.committed(nowMillis));
             }
         }
         return sum;
     }
 
     private void resizePool(long nowMillis) {
-        RateShare rest = limit(nowMillis).minus(committed(nowMillis));
-        pool.resize(rest.rate(), rest.burst(), nowMillis);
+        RateShare unlent = limit(nowMillis).minus(committed(nowMillis));
+        pool.resize(unlent.rate(), unlent.burst(), nowMillis);
     }
 
     /**
      * A recall to send.
      *
      * @param holder the holder
-     * @param cut the lowered share
+     * @param reducedShare the lowered share
      */
-    record Recall(VmAddress holder, ShareLease cut) {}
+    record Recall(VmAddress holder, ShareLease reducedShare) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountUsage.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountUsage.java
@@ -8,16 +8,16 @@
 /** The use that callers of this VM make of one client account, and the shares held for it by lending data centre. */
 final class AccountUsage {
 
-    private static final long PRESSURE_GAP_MILLIS = 100;
+    private static final long MAX_SHORTAGE_GAP_MILLIS = 100;
 
     private final ClientAccountId account;
     private final DemandMeter meter;
     private final Map<DataCentreId, HeldShare> shares = new TreeMap<>();
     private long lastUsedMillis;
-    private int waits;
-    private long pressedMillis = Long.MIN_VALUE / 2;
-    private long pressedSinceMillis;
-    private long refusedMillis = Long.MIN_VALUE / 2;
+    private int shortageCount;
+    private long lastShortageMillis = Long.MIN_VALUE / 2;
+    private long shortageStartMillis;
+    private long lastRefusalMillis = Long.MIN_VALUE / 2;
 
     AccountUsage(ClientAccountId account, long nowMillis) {
         this.account = account;
@@ -63,39 +63,39 @@
 
     /** Notes that a statement was refused. */
     void recordRefusal(long nowMillis) {
-        refusedMillis = nowMillis;
+        lastRefusalMillis = nowMillis;
     }
 
     long millisSinceRefusal(long nowMillis) {
-        return nowMillis - refusedMillis;
+        return nowMillis - lastRefusalMillis;
     }
 
     /** Notes that a statement found no token. */
     void recordShortage(long nowMillis) {
-        if (nowMillis - pressedMillis > PRESSURE_GAP_MILLIS) {
-            pressedSinceMillis = nowMillis;
+        if (nowMillis - lastShortageMillis > MAX_SHORTAGE_GAP_MILLIS) {
+            shortageStartMillis = nowMillis;
         }
         lastUsedMillis = nowMillis;
-        pressedMillis = nowMillis;
-        waits++;
+        lastShortageMillis = nowMillis;
+        shortageCount++;
     }
 
     /** Milliseconds for which statements have been finding no token. */
     long shortageDurationMillis(long nowMillis) {
-        return nowMillis - pressedSinceMillis;
+        return nowMillis - shortageStartMillis;
     }
 
     /** Statements that found no token since the last request. */
     int shortageCount() {
-        return waits;
+        return shortageCount;
     }
 
     void clearShortageCount() {
-        waits = 0;
+        shortageCount = 0;
     }
 
     long millisSinceShortage(long nowMillis) {
-        return nowMillis - pressedMillis;
+        return nowMillis - lastShortageMillis;
     }
 
     long idleMillis(long nowMillis) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/DemandMeter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/DemandMeter.java
@@ -4,12 +4,12 @@
 final class DemandMeter {
 
     private static final long WINDOW_MILLIS = 100;
-    private static final double RISING = 0.5;
-    private static final double FALLING = 0.1;
+    private static final double RISING_WEIGHT = 0.5;
+    private static final double FALLING_WEIGHT = 0.1;
     private static final int MAX_WINDOWS = 64;
 
     private long windowStartMillis;
-    private int count;
+    private int arrivals;
     private double perSecond;
 
     DemandMeter(long nowMillis) {
@@ -17,22 +17,22 @@
     }
 
     void count(long nowMillis) {
-        roll(nowMillis);
-        count++;
+        closeWindows(nowMillis);
+        arrivals++;
     }
 
     /** Statements per second. */
     double perSecond(long nowMillis) {
-        roll(nowMillis);
+        closeWindows(nowMillis);
         return perSecond;
     }
 
-    private void roll(long nowMillis) {
+    private void closeWindows(long nowMillis) {
         long windows = Math.min(MAX_WINDOWS, (nowMillis - windowStartMillis) / WINDOW_MILLIS);
         for (long i = 0; i < windows; i++) {
-            double rate = count * 1_000.0 / WINDOW_MILLIS;
-            perSecond += (rate > perSecond ? RISING : FALLING) * (rate - perSecond);
-            count = 0;
+            double rate = arrivals * 1_000.0 / WINDOW_MILLIS;
+            perSecond += (rate > perSecond ? RISING_WEIGHT : FALLING_WEIGHT) * (rate - perSecond);
+            arrivals = 0;
         }
         if (windows > 0) {
             windowStartMillis = nowMillis - (nowMillis - windowStartMillis) % WINDOW_MILLIS;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/EvenSplitRateLimiter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/EvenSplitRateLimiter.java
@@ -18,7 +18,7 @@
  */
 public final class EvenSplitRateLimiter implements RateLimiter, DecisionSystem {
 
-    private static final long MAX_RETRY_MILLIS = 1_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 1_000;
 
     private final int parts;
     private final Map<ClientAccountId, TokenBucket> buckets = new HashMap<>();
@@ -39,12 +39,13 @@
     public Option<Refusal> tryAcquire(ClientAccountId account, long nowMillis) {
         TokenBucket bucket = buckets.get(account);
         if (bucket == null) {
-            return Option.some(new Refusal.RateExceeded(account, MAX_RETRY_MILLIS));
+            return Option.some(new Refusal.RateExceeded(account, MAX_RETRY_AFTER_MILLIS));
         }
         if (bucket.tryTake(nowMillis)) {
             return Option.none();
         }
-        return Option.some(new Refusal.RateExceeded(account, bucket.millisUntilToken(nowMillis, MAX_RETRY_MILLIS)));
+        return Option.some(
+                new Refusal.RateExceeded(account, bucket.millisUntilToken(nowMillis, MAX_RETRY_AFTER_MILLIS)));
     }
 
     @Override
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/HeldShare.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/HeldShare.java
@@ -8,23 +8,23 @@
 final class HeldShare {
 
     /** Age of a request beyond which its answer is ignored. */
-    static final long ANSWER_MILLIS = 1_000;
+    static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
     /** Renewals fall on a common grid, so that those to one lender travel in one message. */
-    private static final long RENEWAL_GRID_PARTS = 4;
+    private static final long RENEWAL_STEPS_PER_LEASE = 4;
 
-    private static final double RELEASED_TOKENS = 0.5;
+    private static final double MIN_RELEASED_TOKENS = 0.5;
 
     private final TokenBucket bucket;
     private Optional<VmAddress> lender = Optional.empty();
     private long epoch;
     private long appliedGrant;
-    private long endMillis;
-    private long renewMillis;
-    private long requestedMillis = Long.MIN_VALUE / 2;
-    private long reservedMillis = Long.MIN_VALUE / 2;
-    private int unanswered;
-    private double returnable;
+    private long leaseEndMillis;
+    private long nextRenewalMillis;
+    private long lastRequestMillis = Long.MIN_VALUE / 2;
+    private long lastReservationMillis = Long.MIN_VALUE / 2;
+    private int unansweredRequests;
+    private double returnableTokens;
 
     HeldShare(long nowMillis) {
         bucket = new TokenBucket(0, 0, nowMillis);
@@ -41,17 +41,17 @@
     }
 
     boolean isValid(long nowMillis) {
-        return nowMillis < endMillis && bucket.burst() > 0;
+        return nowMillis < leaseEndMillis && bucket.burst() > 0;
     }
 
     /** Whether tokens that were handed over without a rate have been used, so that their burst can be given back. */
     boolean isExhausted(long nowMillis) {
-        return bucket.ratePerSecond() <= 0 && bucket.burst() - bucket.tokens(nowMillis) >= RELEASED_TOKENS;
+        return bucket.ratePerSecond() <= 0 && bucket.burst() - bucket.tokens(nowMillis) >= MIN_RELEASED_TOKENS;
     }
 
     /** What this VM may use now. */
     RateShare currentShare(long nowMillis) {
-        return nowMillis < endMillis ? new RateShare(bucket.ratePerSecond(), bucket.burst()) : RateShare.NONE;
+        return nowMillis < leaseEndMillis ? new RateShare(bucket.ratePerSecond(), bucket.burst()) : RateShare.NONE;
     }
 
     double rate(long nowMillis) {
@@ -67,17 +67,17 @@
     }
 
     boolean isRenewalDue(long nowMillis) {
-        return nowMillis >= renewMillis;
+        return nowMillis >= nextRenewalMillis;
     }
 
     /** Milliseconds since the last request. */
     long millisSinceRequest(long nowMillis) {
-        return nowMillis - requestedMillis;
+        return nowMillis - lastRequestMillis;
     }
 
     /** Requests since the last answer. */
     int unansweredRequests() {
-        return unanswered;
+        return unansweredRequests;
     }
 
     boolean hasGrant() {
@@ -88,15 +88,15 @@
      * Prepares the report to a lender. From now on only this lender can change the share, so that a new owner may take
      * over what is reported.
      */
-    ShareReport prepareReport(ClientAccountId account, VmAddress to, Need need, long nowMillis) {
+    ShareReport prepareReport(ClientAccountId account, VmAddress to, Demand demand, long nowMillis) {
         lender = Optional.of(to);
-        requestedMillis = nowMillis;
+        lastRequestMillis = nowMillis;
         clearIfExpired(nowMillis);
         bucket.releaseUsedBurst(nowMillis);
-        double reserved = reserve(need.tokens(), nowMillis);
-        unanswered++;
-        double returned = returnable;
-        returnable = 0;
+        double reserved = reserve(demand.missingTokens(), nowMillis);
+        unansweredRequests++;
+        double returned = returnableTokens;
+        returnableTokens = 0;
         return new ShareReport(
                 account,
                 epoch,
@@ -105,8 +105,8 @@
                 bucket.burst(),
                 reserved,
                 returned,
-                need.perSecond(),
-                need.tokens());
+                demand.perSecond(),
+                demand.missingTokens());
     }
 
     /** Applies a grant that answers a request; grants that came late or from another VM are ignored. */
@@ -116,46 +116,46 @@
         }
         clearIfExpired(nowMillis);
         bucket.endReservation(nowMillis);
-        reservedMillis = Long.MIN_VALUE / 2;
-        unanswered = 0;
+        lastReservationMillis = Long.MIN_VALUE / 2;
+        unansweredRequests = 0;
         resize(lease, nowMillis);
         bucket.deposit(lease.tokens(), nowMillis);
-        endMillis = requestMillis + lease.durationMillis();
-        long grid = Math.max(1, lease.durationMillis() / RENEWAL_GRID_PARTS);
-        renewMillis = (requestMillis + lease.durationMillis() / 2) / grid * grid;
+        leaseEndMillis = requestMillis + lease.durationMillis();
+        long stepMillis = Math.max(1, lease.durationMillis() / RENEWAL_STEPS_PER_LEASE);
+        nextRenewalMillis = (requestMillis + lease.durationMillis() / 2) / stepMillis * stepMillis;
         return true;
     }
 
     /** Lowers the share; its lease ends as before. */
-    boolean applyRecall(VmAddress from, ShareLease cut, long nowMillis) {
-        if (epoch != cut.epoch() || !accepts(from, cut)) {
+    boolean applyRecall(VmAddress from, ShareLease reduced, long nowMillis) {
+        if (epoch != reduced.epoch() || !accepts(from, reduced)) {
             return false;
         }
         clearIfExpired(nowMillis);
-        resize(cut, nowMillis);
+        resize(reduced, nowMillis);
         return true;
     }
 
     /** Gives the whole share up; its tokens go with the next report. */
     void surrender(long nowMillis) {
-        returnable += bucket.tokens(nowMillis);
+        returnableTokens += bucket.tokens(nowMillis);
         bucket.resize(0, 0, nowMillis);
     }
 
     /** Reserves room for tokens unless the answer to an earlier request may still bring some. */
     private double reserve(double tokens, long nowMillis) {
-        if (nowMillis - reservedMillis <= ANSWER_MILLIS) {
+        if (nowMillis - lastReservationMillis <= ANSWER_TIMEOUT_MILLIS) {
             return 0;
         }
-        reservedMillis = nowMillis;
+        lastReservationMillis = nowMillis;
         return bucket.reserve(tokens, nowMillis);
     }
 
     /** A share whose lease has ended may be lent to others, and its tokens with it. */
     private void clearIfExpired(long nowMillis) {
-        if (nowMillis >= endMillis) {
+        if (nowMillis >= leaseEndMillis) {
             bucket.resize(0, 0, nowMillis);
-            returnable = 0;
+            returnableTokens = 0;
         }
     }
 
@@ -167,7 +167,7 @@
     private void resize(ShareLease lease, long nowMillis) {
         double before = bucket.tokens(nowMillis);
         bucket.resize(lease.rate(), lease.burst(), nowMillis);
-        returnable = Math.max(0, before - bucket.tokens(nowMillis));
+        returnableTokens = Math.max(0, before - bucket.tokens(nowMillis));
         epoch = lease.epoch();
         appliedGrant = lease.grant();
     }
@@ -176,7 +176,7 @@
      * What a holder needs.
      *
      * @param perSecond statements that arrive per second
-     * @param tokens tokens lacked now
+     * @param missingTokens tokens lacked now
      */
-    record Need(double perSecond, double tokens) {}
+    record Demand(double perSecond, double missingTokens) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LentShare.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LentShare.java
@@ -11,14 +11,14 @@
  */
 final class LentShare {
 
-    private static final int MAX_OUTSTANDING = 6;
+    private static final int MAX_OUTSTANDING_GRANTS = 6;
 
     private final VmAddress holder;
-    private final Deque<Outstanding> outstanding = new ArrayDeque<>();
+    private final Deque<OutstandingGrant> outstanding = new ArrayDeque<>();
     private double demand;
-    private double unmet;
-    private long durationMillis;
-    private long recalledMillis = Long.MIN_VALUE / 2;
+    private double unmetTokens;
+    private long lastDurationMillis;
+    private long lastRecallMillis = Long.MIN_VALUE / 2;
 
     LentShare(VmAddress holder) {
         this.holder = holder;
@@ -30,11 +30,11 @@
 
     /** Tokens that the holder wanted and did not get. */
     double unmetTokens() {
-        return unmet;
+        return unmetTokens;
     }
 
     void setUnmetTokens(double tokens) {
-        unmet = tokens;
+        unmetTokens = tokens;
     }
 
     double demand() {
@@ -46,71 +46,75 @@
     }
 
     long lastRecallMillis() {
-        return recalledMillis;
+        return lastRecallMillis;
     }
 
     /** The most that the holder may be using. */
     RateShare committed(long nowMillis) {
         outstanding.removeIf(o -> o.endMillis() <= nowMillis);
-        RateShare most = RateShare.NONE;
-        for (Outstanding one : outstanding) {
-            most = most.max(one.amount());
+        RateShare largest = RateShare.NONE;
+        for (OutstandingGrant grant : outstanding) {
+            largest = largest.max(grant.share());
         }
-        return most;
+        return largest;
     }
 
     /** The amount of the latest grant. */
     RateShare latestGranted(long nowMillis) {
         outstanding.removeIf(o -> o.endMillis() <= nowMillis);
-        return outstanding.isEmpty() ? RateShare.NONE : outstanding.peekLast().amount();
+        return outstanding.isEmpty() ? RateShare.NONE : outstanding.peekLast().share();
     }
 
     /** Records what the holder held when it had applied a grant; earlier grants will not be used any more. */
     void confirmGrant(long appliedGrant, RateShare held, long nowMillis) {
         long end = nowMillis;
-        while (!outstanding.isEmpty() && outstanding.peekFirst().grant() <= appliedGrant) {
+        while (!outstanding.isEmpty() && outstanding.peekFirst().grantNumber() <= appliedGrant) {
             end = Math.max(end, outstanding.removeFirst().endMillis());
         }
         if (end > nowMillis) {
-            outstanding.addFirst(new Outstanding(appliedGrant, held, end));
+            outstanding.addFirst(new OutstandingGrant(appliedGrant, held, end));
         }
     }
 
     /** Records a grant before it is sent. */
-    void recordGrant(long grant, RateShare amount, long duration, long endMillis) {
-        durationMillis = duration;
-        add(new Outstanding(grant, amount, endMillis));
+    void recordGrant(long grantNumber, RateShare share, long leaseMillis, long endMillis) {
+        lastDurationMillis = leaseMillis;
+        add(new OutstandingGrant(grantNumber, share, endMillis));
     }
 
     /** Records a recall before it is sent; the lease ends no later than before. */
-    void recordRecall(long grant, RateShare amount, long nowMillis) {
-        long end = outstanding.stream().mapToLong(Outstanding::endMillis).max().orElse(nowMillis);
-        durationMillis = 0;
-        recalledMillis = nowMillis;
-        add(new Outstanding(grant, amount, end));
+    void recordRecall(long grantNumber, RateShare share, long nowMillis) {
+        long end = outstanding.stream()
+                .mapToLong(OutstandingGrant::endMillis)
+                .max()
+                .orElse(nowMillis);
+        lastDurationMillis = 0;
+        lastRecallMillis = nowMillis;
+        add(new OutstandingGrant(grantNumber, share, end));
     }
 
     /** The duration of the next lease, which doubles while the size stays about the same. */
     long nextDurationMillis(RateShare next, LimitSettings settings, long nowMillis) {
         RateShare last = latestGranted(nowMillis);
         boolean stable = Math.abs(next.rate() - last.rate()) <= 0.25 * last.rate();
-        long doubled = Math.min(settings.maxLeaseMillis(), 2 * durationMillis);
+        long doubled = Math.min(settings.maxLeaseMillis(), 2 * lastDurationMillis);
         return stable ? Math.max(settings.minLeaseMillis(), doubled) : settings.minLeaseMillis();
     }
 
-    private void add(Outstanding next) {
-        if (outstanding.size() >= MAX_OUTSTANDING) {
-            Outstanding first = outstanding.removeFirst();
-            Outstanding second = outstanding.removeFirst();
+    private void add(OutstandingGrant next) {
+        if (outstanding.size() >= MAX_OUTSTANDING_GRANTS) {
+            OutstandingGrant first = outstanding.removeFirst();
+            OutstandingGrant second = outstanding.removeFirst();
             outstanding.addFirst(first.merge(second));
         }
         outstanding.addLast(next);
     }
 
-    private record Outstanding(long grant, RateShare amount, long endMillis) {
+    private record OutstandingGrant(long grantNumber, RateShare share, long endMillis) {
 
-        Outstanding merge(Outstanding later) {
-            return new Outstanding(later.grant, amount.max(later.amount), Math.max(endMillis, later.endMillis));
+        OutstandingGrant merge(OutstandingGrant later) {
+            return new OutstandingGrant(
+                    later.grantNumber, share.max(later.share), Math.max(endMillis, later.endMillis));
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
@@ -62,10 +62,10 @@
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        Outbox loop = loopBack(nowMillis, out);
+        Outbox loopback = loopBack(nowMillis, out);
         ownership.tick(lender, nowMillis, out);
-        lender.tick(nowMillis, loop);
-        holder.tick(nowMillis, loop);
+        lender.tick(nowMillis, loopback);
+        holder.tick(nowMillis, loopback);
     }
 
     @Override
@@ -79,13 +79,13 @@
 
     @Override
     public void configure(Configuration configuration, long nowMillis, Outbox out) {
-        long former = splits.version();
-        Set<ClientAccountId> moved = splits.apply(configuration);
+        long previousVersion = splits.version();
+        Set<ClientAccountId> movedAccounts = splits.apply(configuration);
         Set<Integer> movedSlots = new HashSet<>();
-        moved.forEach(a -> movedSlots.add(SlotUtils.slotOf(a, settings.slots())));
+        movedAccounts.forEach(a -> movedSlots.add(SlotUtils.slotOf(a, settings.slots())));
         locator.clearCandidates();
-        ownership.configure(former, movedSlots);
-        lender.configure(moved, nowMillis);
+        ownership.configure(previousVersion, movedSlots);
+        lender.configure(movedAccounts, nowMillis);
     }
 
     /**
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareHolder.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareHolder.java
@@ -23,22 +23,22 @@
 final class ShareHolder implements RateLimiter {
 
     private static final long SCAN_INTERVAL_MILLIS = 250;
-    private static final long ANSWER_MILLIS = HeldShare.ANSWER_MILLIS;
-    private static final long MAX_RETRY_MILLIS = 1_000;
-    private static final long MAX_PRESSURE_INTERVAL_MILLIS = 320;
-    private static final long UNUSED_MILLIS = 500;
-    private static final long ESCALATION_MILLIS = 30;
-    private static final int MAX_UNANSWERED = 3;
-    private static final double SATURATED_ABOVE = 1.5;
+    private static final long ANSWER_TIMEOUT_MILLIS = HeldShare.ANSWER_TIMEOUT_MILLIS;
+    private static final long MAX_RETRY_AFTER_MILLIS = 1_000;
+    private static final long MAX_REQUEST_INTERVAL_MILLIS = 320;
+    private static final long RELEASE_IDLE_MILLIS = 500;
+    private static final long ESCALATION_STEP_MILLIS = 30;
+    private static final int MAX_UNANSWERED_REQUESTS = 3;
+    private static final double SATURATION_FACTOR = 1.5;
     private static final double LOOKAHEAD_SECONDS = 0.1;
 
     private final MembershipView view;
     private final LimitSettings settings;
     private final SplitTable splits;
     private final SlotLocator locator;
-    private final Map<ClientAccountId, AccountUsage> consumers = new HashMap<>();
-    private final Set<AccountUsage> pressed = new LinkedHashSet<>();
-    private final Map<Long, Sent> sent = new LinkedHashMap<>();
+    private final Map<ClientAccountId, AccountUsage> usages = new HashMap<>();
+    private final Set<AccountUsage> accountsShortOfTokens = new LinkedHashSet<>();
+    private final Map<Long, PendingRequest> pendingRequests = new LinkedHashMap<>();
     private long sequence;
     private long nextScanMillis;
 
@@ -51,43 +51,43 @@
 
     @Override
     public Option<Refusal> tryAcquire(ClientAccountId account, long nowMillis) {
-        Optional<AccountUsage> consumer = findOrCreateUsage(account, nowMillis);
-        consumer.ifPresent(c -> c.recordArrival(nowMillis));
-        if (consumer.filter(c -> tryTake(c, nowMillis)).isPresent()) {
+        Optional<AccountUsage> usage = findOrCreateUsage(account, nowMillis);
+        usage.ifPresent(u -> u.recordArrival(nowMillis));
+        if (usage.filter(u -> tryTake(u, nowMillis)).isPresent()) {
             return Option.none();
         }
-        return Option.some(refuse(account, consumer, nowMillis));
+        return Option.some(refuse(account, usage, nowMillis));
     }
 
     @Override
     public Admission admit(ClientAccountId account, long firstAskedMillis, long nowMillis) {
-        Optional<AccountUsage> consumer = findOrCreateUsage(account, nowMillis);
+        Optional<AccountUsage> usage = findOrCreateUsage(account, nowMillis);
         if (nowMillis == firstAskedMillis) {
-            consumer.ifPresent(c -> c.recordArrival(nowMillis));
+            usage.ifPresent(u -> u.recordArrival(nowMillis));
         }
-        if (consumer.filter(c -> tryTake(c, nowMillis)).isPresent()) {
+        if (usage.filter(u -> tryTake(u, nowMillis)).isPresent()) {
             return new Admission.Admitted();
         }
-        long end = firstAskedMillis + settings.admissionWaitMillis();
-        if (consumer.isEmpty() || nowMillis >= end || isSaturated(consumer.get(), nowMillis)) {
-            return new Admission.Refused(refuse(account, consumer, nowMillis));
+        long end = firstAskedMillis + settings.maxAdmissionWaitMillis();
+        if (usage.isEmpty() || nowMillis >= end || isSaturated(usage.get(), nowMillis)) {
+            return new Admission.Refused(refuse(account, usage, nowMillis));
         }
-        recordShortage(consumer.get(), nowMillis);
-        return new Admission.Wait(Math.min(end, nowMillis + settings.pressureIntervalMillis()));
+        recordShortage(usage.get(), nowMillis);
+        return new Admission.Wait(Math.min(end, nowMillis + settings.requestIntervalMillis()));
     }
 
     /** Client accounts in use on this VM. */
     int accountCount() {
-        return consumers.size();
+        return usages.size();
     }
 
     /** What this VM holds of a client account's rate and burst. */
     RateShare heldShare(ClientAccountId account, long nowMillis) {
-        AccountUsage consumer = consumers.get(account);
-        if (consumer == null) {
+        AccountUsage usage = usages.get(account);
+        if (usage == null) {
             return RateShare.NONE;
         }
-        return consumer.shares().values().stream()
+        return usage.shares().values().stream()
                 .map(s -> s.currentShare(nowMillis))
                 .reduce(RateShare.NONE, RateShare::plus);
     }
@@ -96,26 +96,27 @@
         Batches batches = new Batches();
         if (nowMillis >= nextScanMillis) {
             nextScanMillis = nowMillis + SCAN_INTERVAL_MILLIS;
-            sent.values().removeIf(s -> nowMillis - s.atMillis() > ANSWER_MILLIS);
-            pressed.removeIf(c -> c.millisSinceShortage(nowMillis) > ANSWER_MILLIS && !c.isExhausted(nowMillis));
-            consumers.values().removeIf(c -> maintainAccount(c, batches, nowMillis));
+            pendingRequests.values().removeIf(s -> nowMillis - s.sentMillis() > ANSWER_TIMEOUT_MILLIS);
+            accountsShortOfTokens.removeIf(
+                    u -> u.millisSinceShortage(nowMillis) > ANSWER_TIMEOUT_MILLIS && !u.isExhausted(nowMillis));
+            usages.values().removeIf(u -> maintainAccount(u, batches, nowMillis));
         }
-        for (AccountUsage consumer : pressed) {
-            requestMore(consumer, batches, nowMillis);
+        for (AccountUsage usage : accountsShortOfTokens) {
+            requestMore(usage, batches, nowMillis);
         }
         batches.send(nowMillis, out);
     }
 
     void handle(VmAddress from, ShareGrant grant, long nowMillis) {
-        Sent request = sent.remove(grant.sequence());
-        if (request == null || nowMillis - request.atMillis() > ANSWER_MILLIS) {
+        PendingRequest request = pendingRequests.remove(grant.sequence());
+        if (request == null || nowMillis - request.sentMillis() > ANSWER_TIMEOUT_MILLIS) {
             return;
         }
         for (ShareLease lease : grant.leases()) {
-            AccountUsage consumer = consumers.get(lease.account());
-            if (consumer != null) {
-                consumer.findOrCreateShare(grant.lender(), nowMillis)
-                        .applyGrant(from, lease, request.atMillis(), nowMillis);
+            AccountUsage usage = usages.get(lease.account());
+            if (usage != null) {
+                usage.findOrCreateShare(grant.lender(), nowMillis)
+                        .applyGrant(from, lease, request.sentMillis(), nowMillis);
                 locator.recordOwner(grant.lender(), slotOf(lease.account()), from);
             }
         }
@@ -123,11 +124,11 @@
 
     void handle(VmAddress from, ShareRecall recall, long nowMillis, Outbox out) {
         Batches batches = new Batches();
-        for (ShareLease cut : recall.cuts()) {
-            AccountUsage consumer = consumers.get(cut.account());
-            if (consumer != null
-                    && consumer.findOrCreateShare(recall.lender(), nowMillis).applyRecall(from, cut, nowMillis)) {
-                addReport(consumer, recall.lender(), from, batches, nowMillis);
+        for (ShareLease reduced : recall.reducedShares()) {
+            AccountUsage usage = usages.get(reduced.account());
+            if (usage != null
+                    && usage.findOrCreateShare(recall.lender(), nowMillis).applyRecall(from, reduced, nowMillis)) {
+                addReport(usage, recall.lender(), from, batches, nowMillis);
             }
         }
         batches.send(nowMillis, out);
@@ -140,46 +141,45 @@
     /** Returns the shares of client accounts without a statement of late. */
     void returnUnused(long nowMillis, Outbox out) {
         Batches batches = new Batches();
-        consumers
-                .values()
-                .removeIf(c -> c.idleMillis(nowMillis) >= UNUSED_MILLIS && returnShares(c, batches, nowMillis));
+        usages.values()
+                .removeIf(u -> u.idleMillis(nowMillis) >= RELEASE_IDLE_MILLIS && returnShares(u, batches, nowMillis));
         batches.send(nowMillis, out);
     }
 
     /** Looks after one client account; true when it is idle and its shares have been returned. */
-    private boolean maintainAccount(AccountUsage consumer, Batches batches, long nowMillis) {
-        if (consumer.idleMillis(nowMillis) >= settings.idleMillis()) {
-            return returnShares(consumer, batches, nowMillis);
+    private boolean maintainAccount(AccountUsage usage, Batches batches, long nowMillis) {
+        if (usage.idleMillis(nowMillis) >= settings.idleTimeoutMillis()) {
+            return returnShares(usage, batches, nowMillis);
         }
-        if (consumer.demand(nowMillis) > consumer.heldRate(nowMillis)) {
-            requestMore(consumer, batches, nowMillis);
+        if (usage.demand(nowMillis) > usage.heldRate(nowMillis)) {
+            requestMore(usage, batches, nowMillis);
         }
-        consumer.shares().forEach((lender, share) -> {
+        usage.shares().forEach((lender, share) -> {
             if (share.hasGrant()
                     && share.isRenewalDue(nowMillis)
-                    && share.millisSinceRequest(nowMillis) >= ANSWER_MILLIS) {
-                addReport(consumer, lender, batches, nowMillis);
+                    && share.millisSinceRequest(nowMillis) >= ANSWER_TIMEOUT_MILLIS) {
+                addReport(usage, lender, batches, nowMillis);
             }
         });
         return false;
     }
 
     /** Asks for more: first the own data centre and, while its share is not enough, one after the other of the rest. */
-    private void requestMore(AccountUsage consumer, Batches batches, long nowMillis) {
-        long interval = requestIntervalMillis(consumer, nowMillis);
-        long step = 0;
-        for (DataCentreId lender : lendersInOrder(consumer.account())) {
-            HeldShare share = consumer.findOrCreateShare(lender, nowMillis);
-            boolean release = share.isExhausted(nowMillis)
-                    && share.millisSinceRequest(nowMillis) >= settings.pressureIntervalMillis();
-            boolean ask = share.millisSinceRequest(nowMillis) >= interval
-                    && consumer.shortageDurationMillis(nowMillis) >= step;
-            if (release || ask) {
-                addReport(consumer, lender, batches, nowMillis);
+    private void requestMore(AccountUsage usage, Batches batches, long nowMillis) {
+        long interval = requestIntervalMillis(usage, nowMillis);
+        long escalationMillis = 0;
+        for (DataCentreId lender : lendersInOrder(usage.account())) {
+            HeldShare share = usage.findOrCreateShare(lender, nowMillis);
+            boolean hasUsedBurst = share.isExhausted(nowMillis)
+                    && share.millisSinceRequest(nowMillis) >= settings.requestIntervalMillis();
+            boolean requestDue = share.millisSinceRequest(nowMillis) >= interval
+                    && usage.shortageDurationMillis(nowMillis) >= escalationMillis;
+            if (hasUsedBurst || requestDue) {
+                addReport(usage, lender, batches, nowMillis);
             }
-            step += ESCALATION_MILLIS;
+            escalationMillis += ESCALATION_STEP_MILLIS;
         }
-        consumer.clearShortageCount();
+        usage.clearShortageCount();
     }
 
     private List<DataCentreId> lendersInOrder(ClientAccountId account) {
@@ -192,103 +192,103 @@
     }
 
     /** Asks often while statements wait, and seldom when the account as a whole is beyond its rate. */
-    private long requestIntervalMillis(AccountUsage consumer, long nowMillis) {
-        boolean over = consumer.millisSinceRefusal(nowMillis) < MAX_RETRY_MILLIS
-                && consumer.demand(nowMillis) > SATURATED_ABOVE * consumer.heldRate(nowMillis);
-        return over || consumer.shortageCount() == 0 ? MAX_PRESSURE_INTERVAL_MILLIS : settings.pressureIntervalMillis();
+    private long requestIntervalMillis(AccountUsage usage, long nowMillis) {
+        boolean overRate = usage.millisSinceRefusal(nowMillis) < MAX_RETRY_AFTER_MILLIS
+                && usage.demand(nowMillis) > SATURATION_FACTOR * usage.heldRate(nowMillis);
+        return overRate || usage.shortageCount() == 0 ? MAX_REQUEST_INTERVAL_MILLIS : settings.requestIntervalMillis();
     }
 
-    private void addReport(AccountUsage consumer, DataCentreId lender, Batches batches, long nowMillis) {
-        int slot = slotOf(consumer.account());
-        if (consumer.findOrCreateShare(lender, nowMillis).unansweredRequests() > MAX_UNANSWERED) {
+    private void addReport(AccountUsage usage, DataCentreId lender, Batches batches, long nowMillis) {
+        int slot = slotOf(usage.account());
+        if (usage.findOrCreateShare(lender, nowMillis).unansweredRequests() > MAX_UNANSWERED_REQUESTS) {
             locator.forgetOwner(lender, slot);
         }
-        locator.find(lender, slot).ifPresent(to -> addReport(consumer, lender, to, batches, nowMillis));
+        locator.find(lender, slot).ifPresent(to -> addReport(usage, lender, to, batches, nowMillis));
     }
 
-    private void addReport(AccountUsage consumer, DataCentreId lender, VmAddress to, Batches batches, long nowMillis) {
-        HeldShare share = consumer.findOrCreateShare(lender, nowMillis);
-        double demand = consumer.demand(nowMillis);
-        double others = consumer.heldRate(nowMillis) - share.rate(nowMillis);
-        boolean own = lender.equals(view.self().dataCentre());
-        double perSecond = own ? demand : Math.max(0, demand - others);
-        double ahead = share.rate(nowMillis) > 0 ? demand * LOOKAHEAD_SECONDS : 0;
-        double tokens = Math.max(0, consumer.shortageCount() + ahead - consumer.tokens(nowMillis));
+    private void addReport(AccountUsage usage, DataCentreId lender, VmAddress to, Batches batches, long nowMillis) {
+        HeldShare share = usage.findOrCreateShare(lender, nowMillis);
+        double demand = usage.demand(nowMillis);
+        double rateHeldElsewhere = usage.heldRate(nowMillis) - share.rate(nowMillis);
+        boolean isLocal = lender.equals(view.self().dataCentre());
+        double perSecond = isLocal ? demand : Math.max(0, demand - rateHeldElsewhere);
+        double lookaheadTokens = share.rate(nowMillis) > 0 ? demand * LOOKAHEAD_SECONDS : 0;
+        double missingTokens = Math.max(0, usage.shortageCount() + lookaheadTokens - usage.tokens(nowMillis));
         ShareReport report = share.prepareReport(
-                consumer.account(),
+                usage.account(),
                 to,
-                new HeldShare.Need(Math.max(perSecond, consumer.shortageCount()), tokens),
+                new HeldShare.Demand(Math.max(perSecond, usage.shortageCount()), missingTokens),
                 nowMillis);
         batches.add(to, lender, report);
     }
 
-    private boolean returnShares(AccountUsage consumer, Batches batches, long nowMillis) {
-        pressed.remove(consumer);
-        surrenderShares(consumer, batches, nowMillis);
+    private boolean returnShares(AccountUsage usage, Batches batches, long nowMillis) {
+        accountsShortOfTokens.remove(usage);
+        surrenderShares(usage, batches, nowMillis);
         return true;
     }
 
-    private void surrenderShares(AccountUsage consumer, Batches batches, long nowMillis) {
-        consumer.shares().forEach((lender, share) -> {
+    private void surrenderShares(AccountUsage usage, Batches batches, long nowMillis) {
+        usage.shares().forEach((lender, share) -> {
             if (share.isValid(nowMillis)) {
                 share.surrender(nowMillis);
-                locator.find(lender, slotOf(consumer.account()))
+                locator.find(lender, slotOf(usage.account()))
                         .ifPresent(to -> batches.add(
                                 to,
                                 lender,
-                                share.prepareReport(consumer.account(), to, new HeldShare.Need(0, 0), nowMillis)));
+                                share.prepareReport(usage.account(), to, new HeldShare.Demand(0, 0), nowMillis)));
             }
         });
     }
 
-    private boolean tryTake(AccountUsage consumer, long nowMillis) {
-        boolean taken = consumer.tryTake(nowMillis);
-        if (taken && consumer.isExhausted(nowMillis)) {
-            pressed.add(consumer);
+    private boolean tryTake(AccountUsage usage, long nowMillis) {
+        boolean taken = usage.tryTake(nowMillis);
+        if (taken && usage.isExhausted(nowMillis)) {
+            accountsShortOfTokens.add(usage);
         }
         return taken;
     }
 
     private Optional<AccountUsage> findOrCreateUsage(ClientAccountId account, long nowMillis) {
-        AccountUsage known = consumers.get(account);
+        AccountUsage known = usages.get(account);
         if (known != null) {
             return Optional.of(known);
         }
         if (splits.find(account).isEmpty()) {
             return Optional.empty();
         }
-        AccountUsage consumer = new AccountUsage(account, nowMillis);
-        consumers.put(account, consumer);
-        return Optional.of(consumer);
+        AccountUsage usage = new AccountUsage(account, nowMillis);
+        usages.put(account, usage);
+        return Optional.of(usage);
     }
 
-    private void recordShortage(AccountUsage consumer, long nowMillis) {
-        consumer.recordShortage(nowMillis);
-        pressed.add(consumer);
+    private void recordShortage(AccountUsage usage, long nowMillis) {
+        usage.recordShortage(nowMillis);
+        accountsShortOfTokens.add(usage);
     }
 
-    private boolean isSaturated(AccountUsage consumer, long nowMillis) {
-        double held = consumer.heldRate(nowMillis);
+    private boolean isSaturated(AccountUsage usage, long nowMillis) {
+        double held = usage.heldRate(nowMillis);
         return held > 0
-                && consumer.demand(nowMillis) > SATURATED_ABOVE * held
-                && consumer.millisSinceRefusal(nowMillis) < MAX_RETRY_MILLIS;
+                && usage.demand(nowMillis) > SATURATION_FACTOR * held
+                && usage.millisSinceRefusal(nowMillis) < MAX_RETRY_AFTER_MILLIS;
     }
 
-    private Refusal refuse(ClientAccountId account, Optional<AccountUsage> consumer, long nowMillis) {
-        consumer.ifPresent(c -> {
-            c.recordRefusal(nowMillis);
-            recordShortage(c, nowMillis);
+    private Refusal refuse(ClientAccountId account, Optional<AccountUsage> usage, long nowMillis) {
+        usage.ifPresent(u -> {
+            u.recordRefusal(nowMillis);
+            recordShortage(u, nowMillis);
         });
-        long retry = consumer.map(c -> c.millisUntilToken(nowMillis, MAX_RETRY_MILLIS))
-                .orElse(MAX_RETRY_MILLIS);
-        return new Refusal.RateExceeded(account, retry);
+        long retryAfterMillis = usage.map(u -> u.millisUntilToken(nowMillis, MAX_RETRY_AFTER_MILLIS))
+                .orElse(MAX_RETRY_AFTER_MILLIS);
+        return new Refusal.RateExceeded(account, retryAfterMillis);
     }
 
     private int slotOf(ClientAccountId account) {
         return SlotUtils.slotOf(account, settings.slots());
     }
 
-    private record Sent(long atMillis) {}
+    private record PendingRequest(long sentMillis) {}
 
     private record Target(VmAddress to, DataCentreId lender) {}
 
@@ -304,10 +304,11 @@
 
         void send(long nowMillis, Outbox out) {
             reports.forEach((target, list) -> {
-                for (int i = 0; i < list.size(); i += settings.maxItems()) {
-                    List<ShareReport> part = list.subList(i, Math.min(list.size(), i + settings.maxItems()));
+                for (int i = 0; i < list.size(); i += settings.maxAccountsPerMessage()) {
+                    List<ShareReport> part =
+                            list.subList(i, Math.min(list.size(), i + settings.maxAccountsPerMessage()));
                     sequence++;
-                    sent.put(sequence, new Sent(nowMillis));
+                    pendingRequests.put(sequence, new PendingRequest(nowMillis));
                     out.add(new Action.SendMessage(target.to(), new ShareRequest(sequence, target.lender(), part)));
                 }
             });
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLease.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLease.java
@@ -24,10 +24,10 @@
 
     /** Checks that no number is negative. */
     public ShareLease {
-        double least = Math.min(Math.min(rate, burst), tokens);
-        if (!(least >= 0) || durationMillis < 0) {
+        double smallest = Math.min(Math.min(rate, burst), tokens);
+        if (!(smallest >= 0) || durationMillis < 0) {
             throw new IllegalArgumentException("the numbers of a share of " + account
-                    + " must not be negative, but the least of its amounts is " + least + " and its duration "
+                    + " must not be negative, but the least of its amounts is " + smallest + " and its duration "
                     + durationMillis + " ms");
         }
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLender.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLender.java
@@ -25,10 +25,10 @@
     private final SplitTable splits;
     private final SlotOwnership ownership;
     private final SlotLocator locator;
-    private final Map<ClientAccountId, AccountLedger> accounts = new HashMap<>();
-    private final Map<VmId, Sender> senders = new HashMap<>();
+    private final Map<ClientAccountId, AccountLedger> ledgers = new HashMap<>();
+    private final Map<VmId, LastRequest> lastRequests = new HashMap<>();
     private long configuredMillis;
-    private long grants;
+    private long lastGrantNumber;
     private long nextSweepMillis;
 
     ShareLender(
@@ -46,14 +46,14 @@
 
     /** Client accounts with a ledger. */
     int accountCount() {
-        return accounts.size();
+        return ledgers.size();
     }
 
-    void configure(Set<ClientAccountId> moved, long nowMillis) {
+    void configure(Set<ClientAccountId> movedAccounts, long nowMillis) {
         configuredMillis = nowMillis;
-        for (AccountLedger account : accounts.values()) {
-            Optional<AccountSplit> split = splits.find(account.account());
-            account.updatePart(partOf(split), account.isGrown() && !moved.contains(account.account()), nowMillis);
+        for (AccountLedger ledger : ledgers.values()) {
+            Optional<AccountSplit> split = splits.find(ledger.account());
+            ledger.updatePart(partOf(split), ledger.isGrown() && !movedAccounts.contains(ledger.account()), nowMillis);
         }
     }
 
@@ -62,20 +62,20 @@
             return;
         }
         nextSweepMillis = nowMillis + SWEEP_INTERVAL_MILLIS;
-        accounts.values().removeIf(a -> !ownership.owns(slotOf(a)) || a.isIdle(nowMillis));
-        Map<VmAddress, List<ShareLease>> cuts = new LinkedHashMap<>();
-        for (AccountLedger account : accounts.values()) {
-            account.removeHolders(h -> view.isConfirmedGone(h.vm(), h.incarnation()), nowMillis);
-            growIfAllowed(account, nowMillis);
-            collectRecalls(account, nowMillis, cuts);
+        ledgers.values().removeIf(l -> !ownership.owns(slotOf(l)) || l.isIdle(nowMillis));
+        Map<VmAddress, List<ShareLease>> recallsByHolder = new LinkedHashMap<>();
+        for (AccountLedger ledger : ledgers.values()) {
+            ledger.removeHolders(h -> view.isConfirmedGone(h.vm(), h.incarnation()), nowMillis);
+            growIfAllowed(ledger, nowMillis);
+            collectRecalls(ledger, nowMillis, recallsByHolder);
         }
-        sendRecalls(cuts, out);
+        sendRecalls(recallsByHolder, out);
     }
 
     /** Whether all shares of a slot are within the splits in force. */
     boolean isSettled(int slot, long nowMillis) {
         return nowMillis >= ownership.adoptUntilMillis(slot)
-                && accounts.values().stream().filter(a -> slotOf(a) == slot).allMatch(a -> a.isSettled(nowMillis));
+                && ledgers.values().stream().filter(l -> slotOf(l) == slot).allMatch(l -> l.isSettled(nowMillis));
     }
 
     void handle(VmAddress from, ShareRequest request, long nowMillis, Outbox out) {
@@ -83,31 +83,31 @@
             return;
         }
         List<ShareLease> leases = new ArrayList<>();
-        Map<VmAddress, List<ShareLease>> cuts = new LinkedHashMap<>();
-        for (ShareReport demand : request.demands()) {
-            int slot = SlotUtils.slotOf(demand.account(), settings.slots());
+        Map<VmAddress, List<ShareLease>> recallsByHolder = new LinkedHashMap<>();
+        for (ShareReport report : request.reports()) {
+            int slot = SlotUtils.slotOf(report.account(), settings.slots());
             if (!ownership.owns(slot)) {
                 redirect(from, slot, nowMillis, out);
             } else if (splits.version() >= ownership.requiredVersion(slot)) {
-                AccountLedger account = findOrCreateLedger(demand.account(), slot, nowMillis);
-                leases.add(account.lend(from, demand, nowMillis));
-                collectRecalls(account, nowMillis, cuts);
+                AccountLedger ledger = findOrCreateLedger(report.account(), slot, nowMillis);
+                leases.add(ledger.lend(from, report, nowMillis));
+                collectRecalls(ledger, nowMillis, recallsByHolder);
             }
         }
         if (!leases.isEmpty()) {
             out.add(new Action.SendMessage(from, new ShareGrant(request.sequence(), request.lender(), leases)));
         }
-        sendRecalls(cuts, out);
+        sendRecalls(recallsByHolder, out);
     }
 
     /** A request that is not newer than the last one of its sender is a duplicate or came late. */
     private boolean isNew(VmAddress from, long sequence) {
-        Sender last = senders.get(from.vm());
+        LastRequest last = lastRequests.get(from.vm());
         boolean isNew = last == null
                 || from.incarnation() > last.incarnation()
                 || (from.incarnation() == last.incarnation() && sequence > last.sequence());
         if (isNew) {
-            senders.put(from.vm(), new Sender(from.incarnation(), sequence));
+            lastRequests.put(from.vm(), new LastRequest(from.incarnation(), sequence));
         }
         return isNew;
     }
@@ -120,38 +120,42 @@
     }
 
     private AccountLedger findOrCreateLedger(ClientAccountId id, int slot, long nowMillis) {
-        AccountLedger account = accounts.get(id);
-        if (account == null) {
+        AccountLedger ledger = ledgers.get(id);
+        if (ledger == null) {
             long adoptUntil = ownership.adoptUntilMillis(slot);
-            account = new AccountLedger(id, ownership.epoch(slot), settings, () -> ++grants, adoptUntil, nowMillis);
+            ledger = new AccountLedger(
+                    id, ownership.epoch(slot), settings, () -> ++lastGrantNumber, adoptUntil, nowMillis);
             Optional<AccountSplit> split = splits.find(id);
             boolean grown = split.map(AccountSplit::version).orElse(0L) <= ownership.grownVersion(slot);
-            account.updatePart(partOf(split), grown, nowMillis);
-            account.accrue(nowMillis - Math.max(ownership.grownSinceMillis(slot), configuredMillis), nowMillis);
-            accounts.put(id, account);
+            ledger.updatePart(partOf(split), grown, nowMillis);
+            ledger.accrue(nowMillis - Math.max(ownership.grownSinceMillis(slot), configuredMillis), nowMillis);
+            ledgers.put(id, ledger);
         }
-        growIfAllowed(account, nowMillis);
-        return account;
+        growIfAllowed(ledger, nowMillis);
+        return ledger;
     }
 
-    private void growIfAllowed(AccountLedger account, long nowMillis) {
-        if (account.isGrown()) {
+    private void growIfAllowed(AccountLedger ledger, long nowMillis) {
+        if (ledger.isGrown()) {
             return;
         }
-        long version = splits.find(account.account()).map(AccountSplit::version).orElse(0L);
-        if (version <= ownership.grownVersion(slotOf(account))) {
-            account.grow(nowMillis);
+        long version = splits.find(ledger.account()).map(AccountSplit::version).orElse(0L);
+        if (version <= ownership.grownVersion(slotOf(ledger))) {
+            ledger.grow(nowMillis);
         }
     }
 
-    private void collectRecalls(AccountLedger account, long nowMillis, Map<VmAddress, List<ShareLease>> cuts) {
-        for (AccountLedger.Recall recall : account.issueRecalls(nowMillis)) {
-            cuts.computeIfAbsent(recall.holder(), h -> new ArrayList<>()).add(recall.cut());
+    private void collectRecalls(
+            AccountLedger ledger, long nowMillis, Map<VmAddress, List<ShareLease>> recallsByHolder) {
+        for (AccountLedger.Recall recall : ledger.issueRecalls(nowMillis)) {
+            recallsByHolder
+                    .computeIfAbsent(recall.holder(), h -> new ArrayList<>())
+                    .add(recall.reducedShare());
         }
     }
 
-    private void sendRecalls(Map<VmAddress, List<ShareLease>> cuts, Outbox out) {
-        cuts.forEach(
+    private void sendRecalls(Map<VmAddress, List<ShareLease>> recallsByHolder, Outbox out) {
+        recallsByHolder.forEach(
                 (holder, leases) -> out.add(new Action.SendMessage(holder, new ShareRecall(dataCentre(), leases))));
     }
 
@@ -159,13 +163,13 @@
         return split.map(s -> s.part(dataCentre())).orElse(RateShare.NONE);
     }
 
-    private int slotOf(AccountLedger account) {
-        return SlotUtils.slotOf(account.account(), settings.slots());
+    private int slotOf(AccountLedger ledger) {
+        return SlotUtils.slotOf(ledger.account(), settings.slots());
     }
 
     private DataCentreId dataCentre() {
         return view.self().dataCentre();
     }
 
-    private record Sender(long incarnation, long sequence) {}
+    private record LastRequest(long incarnation, long sequence) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRecall.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRecall.java
@@ -9,12 +9,12 @@
  * {@link ShareRequest}, which confirms that it has.
  *
  * @param lender data centre of the lender
- * @param cuts the lowered shares; their tokens and durations are 0
+ * @param reducedShares the lowered shares; their tokens and durations are 0
  */
-public record ShareRecall(DataCentreId lender, List<ShareLease> cuts) implements PeerMessage {
+public record ShareRecall(DataCentreId lender, List<ShareLease> reducedShares) implements PeerMessage {
 
     /** Copies the list. */
     public ShareRecall {
-        cuts = List.copyOf(cuts);
+        reducedShares = List.copyOf(reducedShares);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareReport.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareReport.java
@@ -28,10 +28,10 @@
 
     /** Checks that no number is negative. */
     public ShareReport {
-        double least = Math.min(Math.min(rate, burst), Math.min(reservedTokens, returnedTokens));
-        if (!(Math.min(least, Math.min(demand, wantedTokens)) >= 0) || epoch < 0 || appliedGrant < 0) {
+        double smallest = Math.min(Math.min(rate, burst), Math.min(reservedTokens, returnedTokens));
+        if (!(Math.min(smallest, Math.min(demand, wantedTokens)) >= 0) || epoch < 0 || appliedGrant < 0) {
             throw new IllegalArgumentException("the numbers of a report on " + account
-                    + " must not be negative, but the least of its amounts is " + least
+                    + " must not be negative, but the least of its amounts is " + smallest
                     + " and the epoch and grant are "
                     + epoch + " and " + appliedGrant);
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRequest.java
@@ -9,12 +9,12 @@
  *
  * @param sequence grows with every request of the sending incarnation
  * @param lender data centre whose part of the rates is asked for
- * @param demands one entry for each client account
+ * @param reports one entry for each client account
  */
-public record ShareRequest(long sequence, DataCentreId lender, List<ShareReport> demands) implements PeerMessage {
+public record ShareRequest(long sequence, DataCentreId lender, List<ShareReport> reports) implements PeerMessage {
 
     /** Copies the list. */
     public ShareRequest {
-        demands = List.copyOf(demands);
+        reports = List.copyOf(reports);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
@@ -20,7 +20,7 @@
     private final MembershipView view;
     private final Map<String, VmAddress> owners = new HashMap<>();
     private final SplitTable splits;
-    private final Map<Integer, Boolean> ownCandidates = new HashMap<>();
+    private final Map<Integer, Boolean> selfIsCandidate = new HashMap<>();
     private long candidatesVersion = -1;
 
     SlotLocator(MembershipView view, SplitTable splits) {
@@ -30,16 +30,16 @@
 
     /** Forgets what was derived from an earlier configuration. */
     void clearCandidates() {
-        ownCandidates.clear();
+        selfIsCandidate.clear();
     }
 
     /** Whether this VM should own a slot of its data centre when nobody does. */
     boolean isOwnCandidate(int slot) {
         if (candidatesVersion != view.version()) {
             candidatesVersion = view.version();
-            ownCandidates.clear();
+            selfIsCandidate.clear();
         }
-        return ownCandidates.computeIfAbsent(slot, s -> {
+        return selfIsCandidate.computeIfAbsent(slot, s -> {
             VmAddress self = view.self();
             List<CellId> cells = splits.cells(self.dataCentre());
             boolean ownCell = cells.isEmpty() || cells.get(s % cells.size()).equals(self.cell());
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
@@ -27,10 +27,10 @@
 final class SlotOwnership {
 
     private static final long SCAN_INTERVAL_MILLIS = 200;
-    private static final long STABLE_VIEW_MILLIS = 1_000;
-    private static final long REREAD_MILLIS = 5_000;
-    private static final int MAX_CALLS = 64;
-    private static final long BACKOFF_MILLIS = 200;
+    private static final long MIN_STABLE_VIEW_MILLIS = 1_000;
+    private static final long MIN_REREAD_INTERVAL_MILLIS = 5_000;
+    private static final int MAX_PENDING_CALLS = 64;
+    private static final long INITIAL_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 20_000;
 
     private final MembershipView view;
@@ -40,11 +40,11 @@
     private final LongSupplier callNumbers;
     private final Backoff backoff;
     private final List<SlotState> slots = new ArrayList<>();
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
     private long nextScanMillis;
     private long viewVersion = -1;
-    private long viewMillis;
-    private boolean leaving;
+    private long viewChangedMillis;
+    private boolean releasing;
 
     SlotOwnership(
             MembershipView view,
@@ -58,14 +58,14 @@
         this.splits = splits;
         this.locator = locator;
         this.callNumbers = callNumbers;
-        this.backoff = new Backoff(BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, random);
+        this.backoff = new Backoff(INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, random);
         for (int slot = 0; slot < settings.slots(); slot++) {
             slots.add(new SlotState(slot));
         }
     }
 
     boolean owns(int slot) {
-        return slots.get(slot).isOwned() && !leaving;
+        return slots.get(slot).isOwned() && !releasing;
     }
 
     /** The slots that this VM owns. */
@@ -108,7 +108,7 @@
     /** Notes that a holder takes this VM for the owner, so that an old record is read again. */
     void recordMisdirectedRequest(int slot, long nowMillis) {
         SlotState state = slots.get(slot);
-        if (nowMillis - state.readMillis() >= REREAD_MILLIS && !state.hasPendingCalls()) {
+        if (nowMillis - state.readMillis() >= MIN_REREAD_INTERVAL_MILLIS && !state.hasPendingCalls()) {
             state.requireRead();
         }
     }
@@ -118,19 +118,19 @@
     }
 
     /** Follows a change of the splits from a former configuration version. */
-    void configure(long former, Set<Integer> moved) {
+    void configure(long previousVersion, Set<Integer> movedSlots) {
         for (SlotState state : slots) {
-            if (moved.contains(state.slot())) {
+            if (movedSlots.contains(state.slot())) {
                 state.requestSettlement(splits.version());
             } else {
-                state.carryGrownVersion(former, splits.version());
+                state.carryGrownVersion(previousVersion, splits.version());
             }
         }
     }
 
     /** Begins to give up all slots; their records are written without an owner. */
     void releaseAll() {
-        leaving = true;
+        releasing = true;
     }
 
     /** Whether no slot is owned. */
@@ -145,17 +145,17 @@
         nextScanMillis = nowMillis + SCAN_INTERVAL_MILLIS;
         if (viewVersion != view.version()) {
             viewVersion = view.version();
-            viewMillis = nowMillis;
+            viewChangedMillis = nowMillis;
         }
         for (SlotState state : slots) {
-            if (calls.size() < MAX_CALLS && state.isDue(nowMillis)) {
+            if (pendingCalls.size() < MAX_PENDING_CALLS && state.isDue(nowMillis)) {
                 advance(state, lender, nowMillis, out);
             }
         }
     }
 
     void handle(Event.ObjectAnswered event, long nowMillis) {
-        Call call = calls.remove(event.call());
+        PendingCall call = pendingCalls.remove(event.call());
         if (call == null) {
             return;
         }
@@ -172,13 +172,13 @@
 
     private void advance(SlotState state, ShareLender lender, long nowMillis, Outbox out) {
         if (state.needsRead()) {
-            if (state.isOwned() || (!leaving && isCandidate(state.slot(), nowMillis))) {
+            if (state.isOwned() || (!releasing && isCandidate(state.slot(), nowMillis))) {
                 read(state, view.self().dataCentre(), out);
             }
             return;
         }
         SlotRecord record = state.record().get();
-        if (leaving) {
+        if (releasing) {
             if (state.isOwned()) {
                 update(state, record.withOwner(Optional.empty()), nowMillis, out);
             }
@@ -252,7 +252,7 @@
 
     /** A VM that has just started takes itself for the only candidate, so the view must have been stable for a while. */
     private boolean isCandidate(int slot, long nowMillis) {
-        boolean stable = nowMillis - viewMillis >= STABLE_VIEW_MILLIS;
+        boolean stable = nowMillis - viewChangedMillis >= MIN_STABLE_VIEW_MILLIS;
         return stable && locator.isOwnCandidate(slot);
     }
 
@@ -282,12 +282,12 @@
 
     private long registerCall(SlotState state, DataCentreId dataCentre, boolean update) {
         long call = callNumbers.getAsLong();
-        calls.put(call, new Call(state, dataCentre, update));
+        pendingCalls.put(call, new PendingCall(state, dataCentre, update));
         state.callStarted();
         return call;
     }
 
-    private void handleOwn(Call call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
+    private void handleOwn(PendingCall call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
         SlotState state = call.state();
         if (result.isLeft()) {
             if (call.update()) {
@@ -301,12 +301,12 @@
         Either<?, SlotRecord> record = call.update() && state.proposed().isPresent()
                 ? Either.right(state.proposed().get())
                 : SlotRecord.decode(result.get().path(), result.get().value());
-        record.peek(r -> state.applyRecord(r, version, view.self(), nowMillis + longestLeaseMillis(), nowMillis))
+        record.peek(r -> state.applyRecord(r, version, view.self(), nowMillis + maxLenderLeaseMillis(), nowMillis))
                 .peekLeft(f -> state.delayUntil(nowMillis + MAX_BACKOFF_MILLIS));
     }
 
-    private long longestLeaseMillis() {
-        return settings.lenderMillis(settings.maxLeaseMillis());
+    private long maxLenderLeaseMillis() {
+        return settings.lenderLeaseMillis(settings.maxLeaseMillis());
     }
 
     private void retryLater(SlotState state, PlatformFailure failure, long nowMillis) {
@@ -317,5 +317,5 @@
         state.delayUntil(nowMillis + delay);
     }
 
-    private record Call(SlotState state, DataCentreId dataCentre, boolean update) {}
+    private record PendingCall(SlotState state, DataCentreId dataCentre, boolean update) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotRecord.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotRecord.java
@@ -42,15 +42,15 @@
     }
 
     /** A record settled for a version under which data centres have parts. */
-    SlotRecord withSettledVersion(long version, Set<DataCentreId> named) {
+    SlotRecord withSettledVersion(long version, Set<DataCentreId> configured) {
         Set<DataCentreId> all = new TreeSet<>(dataCentres);
-        all.addAll(named);
+        all.addAll(configured);
         return new SlotRecord(owner, epoch, version, grownVersion, all);
     }
 
     /** A record that may lend a version's parts in full, after all other data centres have settled for it. */
-    SlotRecord withGrownVersion(long version, Set<DataCentreId> named) {
-        return new SlotRecord(owner, epoch, settledVersion, version, named);
+    SlotRecord withGrownVersion(long version, Set<DataCentreId> configured) {
+        return new SlotRecord(owner, epoch, settledVersion, version, configured);
     }
 
     /** Encodes the record as lines of {@code key=value}. */
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotState.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotState.java
@@ -10,7 +10,7 @@
 final class SlotState {
 
     private final int slot;
-    private final Map<DataCentreId, SlotRecord> others = new HashMap<>();
+    private final Map<DataCentreId, SlotRecord> otherRecords = new HashMap<>();
     private Optional<SlotRecord> record = Optional.empty();
     private Optional<SlotRecord> proposed = Optional.empty();
     private long objectVersion;
@@ -23,8 +23,8 @@
     private long settleVersion;
     private long nextAttemptMillis;
     private int failures;
-    private int awaited;
-    private boolean inDoubt;
+    private int pendingCalls;
+    private boolean readRequired;
 
     SlotState(int slot) {
         this.slot = slot;
@@ -88,23 +88,23 @@
     }
 
     Map<DataCentreId, SlotRecord> otherRecords() {
-        return others;
+        return otherRecords;
     }
 
     boolean isDue(long nowMillis) {
-        return awaited == 0 && nowMillis >= nextAttemptMillis;
+        return pendingCalls == 0 && nowMillis >= nextAttemptMillis;
     }
 
     void callStarted() {
-        awaited++;
+        pendingCalls++;
     }
 
     void callAnswered() {
-        awaited--;
+        pendingCalls--;
     }
 
     boolean hasPendingCalls() {
-        return awaited > 0;
+        return pendingCalls > 0;
     }
 
     void delayUntil(long untilMillis) {
@@ -126,30 +126,30 @@
 
     /** Requires the record to be read again, for example after an update without an answer. */
     void requireRead() {
-        inDoubt = true;
+        readRequired = true;
     }
 
     /** Whether the record must be read before it is updated. */
     boolean needsRead() {
-        return inDoubt || record.isEmpty();
+        return readRequired || record.isEmpty();
     }
 
     /** Takes a record that was read or written; an update whose answer was lost shows as the proposed record. */
-    void applyRecord(SlotRecord next, long version, VmAddress self, long ownUntilMillis, long nowMillis) {
-        boolean mine = next.owner().filter(self::equals).isPresent();
-        if (mine && !owned) {
+    void applyRecord(SlotRecord next, long version, VmAddress self, long previousLeasesEndMillis, long nowMillis) {
+        boolean ownedBySelf = next.owner().filter(self::equals).isPresent();
+        if (ownedBySelf && !owned) {
             owned = true;
-            adoptUntilMillis = next.epoch() == 1 ? nowMillis : ownUntilMillis;
+            adoptUntilMillis = next.epoch() == 1 ? nowMillis : previousLeasesEndMillis;
         }
-        owned = mine;
-        if (mine && next.grownVersion() > grownVersion) {
+        owned = ownedBySelf;
+        if (ownedBySelf && next.grownVersion() > grownVersion) {
             grownVersion = next.grownVersion();
             grownMillis = nowMillis;
         }
         record = Optional.of(next);
         objectVersion = version;
         readMillis = nowMillis;
-        inDoubt = false;
+        readRequired = false;
         proposed = Optional.empty();
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SplitTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SplitTable.java
@@ -26,9 +26,9 @@
  */
 final class SplitTable {
 
-    private final Map<DatabaseId, Place> places = new HashMap<>();
-    private final Map<ClientAccountId, Declared> declared = new HashMap<>();
-    private final Map<DatabaseId, Set<ClientAccountId>> users = new HashMap<>();
+    private final Map<DatabaseId, DatabasePlacement> placements = new HashMap<>();
+    private final Map<ClientAccountId, DeclaredAccount> declaredAccounts = new HashMap<>();
+    private final Map<DatabaseId, Set<ClientAccountId>> accountsByDatabase = new HashMap<>();
     private final Map<DataCentreId, TreeMap<CellId, Integer>> cells = new TreeMap<>();
     private final long[] slotVersions;
     private Map<TeamId, TeamConfiguration> teams = Map.of();
@@ -49,7 +49,7 @@
     }
 
     Optional<AccountSplit> find(ClientAccountId account) {
-        return Optional.ofNullable(declared.get(account)).map(this::split);
+        return Optional.ofNullable(declaredAccounts.get(account)).map(this::split);
     }
 
     /** The data centres named by the configuration. */
@@ -72,63 +72,65 @@
     Set<ClientAccountId> apply(Configuration next) {
         List<TeamConfiguration> removed = new ArrayList<>();
         List<TeamConfiguration> added = new ArrayList<>();
-        compare(next, removed, added);
-        Set<ClientAccountId> touched = new HashSet<>();
-        removed.forEach(t -> collectAffected(t, touched));
-        added.forEach(t -> collectAffected(t, touched));
+        findChanges(next, removed, added);
+        Set<ClientAccountId> affected = new HashSet<>();
+        removed.forEach(t -> collectAffected(t, affected));
+        added.forEach(t -> collectAffected(t, affected));
         Map<ClientAccountId, List<DataCentreId>> before = new HashMap<>();
-        touched.forEach(a -> before.put(a, dataCentres(a)));
+        affected.forEach(a -> before.put(a, dataCentres(a)));
         removed.forEach(this::remove);
         added.forEach(this::add);
         teams = next.teams();
         version = next.version();
-        touched.forEach(this::raiseSlotVersion);
-        touched.removeIf(a -> dataCentres(a).equals(before.get(a)));
-        return touched;
+        affected.forEach(this::raiseSlotVersion);
+        affected.removeIf(a -> dataCentres(a).equals(before.get(a)));
+        return affected;
     }
 
-    private void compare(Configuration next, List<TeamConfiguration> removed, List<TeamConfiguration> added) {
+    private void findChanges(Configuration next, List<TeamConfiguration> removed, List<TeamConfiguration> added) {
         for (TeamConfiguration team : teams.values()) {
-            TeamConfiguration now = next.teams().get(team.team());
-            if (now == null || now.version() != team.version()) {
+            TeamConfiguration current = next.teams().get(team.team());
+            if (current == null || current.version() != team.version()) {
                 removed.add(team);
             }
         }
         for (TeamConfiguration team : next.teams().values()) {
-            TeamConfiguration then = teams.get(team.team());
-            if (then == null || then.version() != team.version()) {
+            TeamConfiguration previous = teams.get(team.team());
+            if (previous == null || previous.version() != team.version()) {
                 added.add(team);
             }
         }
     }
 
     /** Collects the accounts of a team and those that use its databases. */
-    private void collectAffected(TeamConfiguration team, Set<ClientAccountId> touched) {
-        team.accounts().forEach(a -> touched.add(a.id()));
-        team.databases().forEach(d -> touched.addAll(users.getOrDefault(d.id(), Set.of())));
+    private void collectAffected(TeamConfiguration team, Set<ClientAccountId> affected) {
+        team.accounts().forEach(a -> affected.add(a.id()));
+        team.databases().forEach(d -> affected.addAll(accountsByDatabase.getOrDefault(d.id(), Set.of())));
     }
 
     private void remove(TeamConfiguration team) {
         for (DatabaseDeclaration database : team.databases()) {
-            places.remove(database.id());
+            placements.remove(database.id());
             database.endpoints().forEach(e -> countCell(e, -1));
         }
         for (AccountDeclaration account : team.accounts()) {
-            declared.remove(account.id());
+            declaredAccounts.remove(account.id());
             account.databases()
-                    .forEach(d -> users.getOrDefault(d, new HashSet<>()).remove(account.id()));
+                    .forEach(d ->
+                            accountsByDatabase.getOrDefault(d, new HashSet<>()).remove(account.id()));
         }
     }
 
     private void add(TeamConfiguration team) {
         for (DatabaseDeclaration database : team.databases()) {
-            places.put(database.id(), Place.of(database, team.version()));
+            placements.put(database.id(), DatabasePlacement.of(database, team.version()));
             database.endpoints().forEach(e -> countCell(e, 1));
         }
         for (AccountDeclaration account : team.accounts()) {
-            declared.put(account.id(), new Declared(account, team.version()));
-            account.databases()
-                    .forEach(d -> users.computeIfAbsent(d, k -> new HashSet<>()).add(account.id()));
+            declaredAccounts.put(account.id(), new DeclaredAccount(account, team.version()));
+            account.databases().forEach(d -> accountsByDatabase
+                    .computeIfAbsent(d, k -> new HashSet<>())
+                    .add(account.id()));
         }
     }
 
@@ -152,26 +154,26 @@
         return find(account).map(AccountSplit::dataCentres).orElse(List.of());
     }
 
-    private AccountSplit split(Declared source) {
+    private AccountSplit split(DeclaredAccount source) {
         Set<DataCentreId> dataCentres = new TreeSet<>();
         long changed = source.version();
         for (DatabaseId database : source.account().databases()) {
-            Place place = places.get(database);
-            if (place != null) {
-                dataCentres.addAll(place.dataCentres());
-                changed = Math.max(changed, place.version());
+            DatabasePlacement placement = placements.get(database);
+            if (placement != null) {
+                dataCentres.addAll(placement.dataCentres());
+                changed = Math.max(changed, placement.version());
             }
         }
         AccountDeclaration account = source.account();
         return AccountSplit.of(account.id(), account.rate(), List.copyOf(dataCentres), changed);
     }
 
-    private record Declared(AccountDeclaration account, long version) {}
+    private record DeclaredAccount(AccountDeclaration account, long version) {}
 
-    private record Place(List<DataCentreId> dataCentres, long version) {
+    private record DatabasePlacement(List<DataCentreId> dataCentres, long version) {
 
-        static Place of(DatabaseDeclaration database, long version) {
-            return new Place(
+        static DatabasePlacement of(DatabaseDeclaration database, long version) {
+            return new DatabasePlacement(
                     database.endpoints().stream()
                             .map(EndpointDeclaration::dataCentre)
                             .distinct()
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/TokenBucket.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/TokenBucket.java
@@ -6,13 +6,13 @@
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** Sums of fractions fall short of a whole token by rounding; the shortfall is paid back by the next refill. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private double ratePerSecond;
     private double burst;
     private double tokens;
-    private double reserved;
-    private long filledMillis;
+    private double reservedTokens;
+    private long refilledMillis;
 
     /**
      * Creates an empty bucket.
@@ -24,7 +24,7 @@
     public TokenBucket(double ratePerSecond, double burst, long nowMillis) {
         this.ratePerSecond = ratePerSecond;
         this.burst = burst;
-        this.filledMillis = nowMillis;
+        this.refilledMillis = nowMillis;
     }
 
     double ratePerSecond() {
@@ -53,7 +53,7 @@
      */
     public boolean tryTake(long nowMillis) {
         refill(nowMillis);
-        if (tokens < 1 - ROUNDING) {
+        if (tokens < 1 - ROUNDING_TOLERANCE) {
             return false;
         }
         tokens -= 1;
@@ -63,23 +63,23 @@
     /**
      * Adds tokens that another bucket gave up; those above the burst are lost.
      *
-     * @param given number of tokens
+     * @param amount number of tokens
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public void deposit(double given, long nowMillis) {
-        deposit(given, burst, nowMillis);
+    public void deposit(double amount, long nowMillis) {
+        deposit(amount, burst, nowMillis);
     }
 
     /**
      * Adds tokens that another bucket gave up, beyond the burst if need be; those above a limit are lost.
      *
-     * @param given number of tokens
+     * @param amount number of tokens
      * @param limit tokens that the bucket may hold after it
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public void deposit(double given, double limit, long nowMillis) {
+    public void deposit(double amount, double limit, long nowMillis) {
         refill(nowMillis);
-        tokens = Math.max(tokens, Math.min(limit, tokens + given));
+        tokens = Math.max(tokens, Math.min(limit, tokens + amount));
     }
 
     /**
@@ -98,14 +98,14 @@
     /** Keeps room free for tokens that are on their way, which must not be filled meanwhile; returns the room. */
     double reserve(double room, long nowMillis) {
         refill(nowMillis);
-        reserved = Math.max(0, Math.min(room, burst - tokens));
-        return reserved;
+        reservedTokens = Math.max(0, Math.min(room, burst - tokens));
+        return reservedTokens;
     }
 
     /** Ends a reservation. */
     void endReservation(long nowMillis) {
         refill(nowMillis);
-        reserved = 0;
+        reservedTokens = 0;
     }
 
     /** Gives up the burst that a bucket without a rate has used. */
@@ -145,10 +145,10 @@
     }
 
     private void refill(long nowMillis) {
-        if (nowMillis > filledMillis) {
-            double filled = tokens + ratePerSecond * (nowMillis - filledMillis) / MILLIS_PER_SECOND;
-            tokens = Math.max(tokens, Math.min(burst - reserved, filled));
-            filledMillis = nowMillis;
+        if (nowMillis > refilledMillis) {
+            double filled = tokens + ratePerSecond * (nowMillis - refilledMillis) / MILLIS_PER_SECOND;
+            tokens = Math.max(tokens, Math.min(burst - reservedTokens, filled));
+            refilledMillis = nowMillis;
         }
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
@@ -16,8 +16,8 @@
     private final Map<String, StoredObject> objects = new HashMap<>();
     private final SplittableRandom random;
     private long version;
-    private boolean down;
-    private double lostAnswers;
+    private boolean unavailable;
+    private double lostAnswerProbability;
     private long reads;
     private long updates;
 
@@ -25,12 +25,12 @@
         this.random = random;
     }
 
-    void setDown(boolean isDown) {
-        down = isDown;
+    void setDown(boolean isUnavailable) {
+        unavailable = isUnavailable;
     }
 
     void setLostAnswerProbability(double probability) {
-        lostAnswers = probability;
+        lostAnswerProbability = probability;
     }
 
     long reads() {
@@ -45,7 +45,7 @@
         if (action instanceof Action.ReadObject read) {
             reads++;
             return Optional.of(new Event.ObjectAnswered(
-                    read.call(), down ? noAnswer(read.path()) : Either.right(find(read.path()))));
+                    read.call(), unavailable ? noAnswer(read.path()) : Either.right(find(read.path()))));
         }
         if (action instanceof Action.UpdateObject update) {
             updates++;
@@ -55,7 +55,7 @@
     }
 
     private Either<PlatformFailure, StoredObject> update(Action.UpdateObject update) {
-        if (down) {
+        if (unavailable) {
             return noAnswer(update.path());
         }
         StoredObject current = find(update.path());
@@ -64,7 +64,9 @@
         }
         version++;
         objects.put(update.path(), new StoredObject(update.path(), version, update.value()));
-        return random.nextDouble() < lostAnswers ? noAnswer(update.path()) : Either.right(find(update.path()));
+        return random.nextDouble() < lostAnswerProbability
+                ? noAnswer(update.path())
+                : Either.right(find(update.path()));
     }
 
     private StoredObject find(String path) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
@@ -7,7 +7,7 @@
 final class FaultSchedule {
 
     private static final int MEAN_INTERVAL_MILLIS = 700;
-    private static final int QUIET_MILLIS = 4_000;
+    private static final int FAULT_FREE_START_MILLIS = 4_000;
 
     private final LimitFleet fleet;
     private final SplittableRandom random;
@@ -19,7 +19,7 @@
     }
 
     void step() {
-        if (fleet.now() < QUIET_MILLIS || random.nextInt(MEAN_INTERVAL_MILLIS) != 0) {
+        if (fleet.now() < FAULT_FREE_START_MILLIS || random.nextInt(MEAN_INTERVAL_MILLIS) != 0) {
             return;
         }
         int vm = random.nextInt(fleet.vms().size());
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
@@ -11,10 +11,10 @@
 final class LimitAudit {
 
     /** Clocks of VMs may run faster than true time by this part. */
-    private static final double DRIFT = 0.004;
+    private static final double MAX_CLOCK_DRIFT = 0.004;
 
     /** Times are rounded to milliseconds at both ends of a window. */
-    private static final double ROUNDING_MILLIS = 3;
+    private static final double ROUNDING_ALLOWANCE_MILLIS = 3;
 
     private LimitAudit() {}
 
@@ -47,13 +47,13 @@
     private static double excess(List<Long> times, Rate rate) {
         List<Long> sorted = new ArrayList<>(times);
         Collections.sort(sorted);
-        double perMilli = rate.perSecond() * (1 + DRIFT) / 1_000;
+        double perMilli = rate.perSecond() * (1 + MAX_CLOCK_DRIFT) / 1_000;
         double lowest = Double.MAX_VALUE;
         double worst = 0;
         for (int i = 0; i < sorted.size(); i++) {
             double level = i - perMilli * sorted.get(i);
             lowest = Math.min(lowest, level);
-            worst = Math.max(worst, level + 1 - lowest - rate.burst() - perMilli * ROUNDING_MILLIS);
+            worst = Math.max(worst, level + 1 - lowest - rate.burst() - perMilli * ROUNDING_ALLOWANCE_MILLIS);
         }
         return worst;
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFaultTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFaultTests.java
@@ -28,11 +28,11 @@
 
 class LimitFaultTests {
 
-    private static final LimitSettings SHORT = new LimitSettings(8, 2_000, 6_000, 100, 20, 3_000, 250, 16);
-    private static final LimitLoad.Shape STORM = new LimitLoad.Shape(3, 1, 0.7);
+    private static final LimitSettings SHORT_LEASES = new LimitSettings(8, 2_000, 6_000, 100, 20, 3_000, 250, 16);
+    private static final LimitLoad.Shape OVERLOAD = new LimitLoad.Shape(3, 1, 0.7);
     private static final LimitLoad.Shape ROAMING = new LimitLoad.Shape(0.7, 4, 0.5);
     private static final long FAULT_MILLIS = 40_000;
-    private static final double GOAL = 0.001;
+    private static final double MAX_WRONGFUL_REFUSAL_RATIO = 0.001;
 
     @Property(tries = 60, seed = "20")
     void neverAdmitsMoreThanRateAndBurstUnderFaults(@ForAll long seed) {
@@ -42,11 +42,11 @@
     @ParameterizedTest
     @EnumSource(value = LimitMutation.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
     void auditDetectsInjectedDefect(LimitMutation mutation) {
-        boolean noticed = false;
-        for (long seed = 1; seed <= 60 && !noticed; seed++) {
-            noticed = !faultRun(seed, mutation).isEmpty();
+        boolean detected = false;
+        for (long seed = 1; seed <= 60 && !detected; seed++) {
+            detected = !faultRun(seed, mutation).isEmpty();
         }
-        assertTrue(noticed, mutation + " went unnoticed");
+        assertTrue(detected, mutation + " went unnoticed");
     }
 
     @Test
@@ -57,7 +57,8 @@
         load.reset();
         run(fleet, load, 120_000);
         print("roaming", fleet, load);
-        assertTrue(load.wrongfulRefusals() < GOAL, "wrongful refusals " + load.wrongfulRefusals());
+        assertTrue(
+                load.wrongfulRefusals() < MAX_WRONGFUL_REFUSAL_RATIO, "wrongful refusals " + load.wrongfulRefusals());
     }
 
     @Test
@@ -83,21 +84,22 @@
         run(fleet, load, 20_000);
         load.reset();
         run(fleet, load, 1_000);
-        assertTrue(load.wrongfulRefusals() < GOAL, "wrongful refusals " + load.wrongfulRefusals());
+        assertTrue(
+                load.wrongfulRefusals() < MAX_WRONGFUL_REFUSAL_RATIO, "wrongful refusals " + load.wrongfulRefusals());
     }
 
     private static List<String> faultRun(long seed, LimitMutation mutation) {
-        LimitFleet fleet = fleet(3, 2, SHORT, mutation, seed);
-        LimitLoad load = new LimitLoad(fleet, rates(), STORM, seed);
+        LimitFleet fleet = fleet(3, 2, SHORT_LEASES, mutation, seed);
+        LimitLoad load = new LimitLoad(fleet, rates(), OVERLOAD, seed);
         FaultSchedule faults = new FaultSchedule(fleet, new SplittableRandom(seed));
         for (int i = 0; i < FAULT_MILLIS; i++) {
             faults.step();
             fleet.step();
             load.step();
             if (i % LimitFleet.TICK_MILLIS == 0) {
-                List<String> overheld = LimitAudit.excessHoldings(fleet, rates());
-                if (!overheld.isEmpty()) {
-                    return overheld;
+                List<String> excess = LimitAudit.excessHoldings(fleet, rates());
+                if (!excess.isEmpty()) {
+                    return excess;
                 }
             }
         }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFleet.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFleet.java
@@ -22,13 +22,13 @@
 
     static final long TICK_MILLIS = 10;
     private static final long LINK_MILLIS = 1;
-    private static final long GONE_LAG_MILLIS = 3_000;
+    private static final long END_CONFIRMATION_DELAY_MILLIS = 3_000;
 
     private final List<LimitVm> vms = new ArrayList<>();
     private final List<LimitVm> ended = new ArrayList<>();
     private final PriorityQueue<Delivery> deliveries = new PriorityQueue<>();
     private final Set<VmAddress> leaving = new HashSet<>();
-    private final Set<Set<DataCentreId>> cuts = new HashSet<>();
+    private final Set<Set<DataCentreId>> partitions = new HashSet<>();
     private final SplittableRandom random;
     private final LimitSettings settings;
     private final LimitMutation mutation;
@@ -36,9 +36,9 @@
     private Configuration configuration = Configuration.EMPTY;
     private long now;
     private long order;
-    private double dropped;
-    private double duplicated;
-    private long extraDelayMillis;
+    private double dropProbability;
+    private double duplicateProbability;
+    private long maxExtraDelayMillis;
     private long messages;
 
     LimitFleet(int dataCentres, int vmsPerDataCentre, LimitSettings settings, LimitMutation mutation, long seed) {
@@ -90,18 +90,18 @@
         next.configure(configuration, now);
     }
 
-    void setPartitioned(DataCentreId one, DataCentreId other, boolean isCut) {
-        if (isCut && !one.equals(other)) {
-            cuts.add(Set.of(one, other));
+    void setPartitioned(DataCentreId one, DataCentreId other, boolean partitioned) {
+        if (partitioned && !one.equals(other)) {
+            partitions.add(Set.of(one, other));
         } else {
-            cuts.removeIf(pair -> pair.contains(one) && pair.contains(other));
+            partitions.removeIf(pair -> pair.contains(one) && pair.contains(other));
         }
     }
 
-    void setLinkFaults(double dropProbability, double duplicateProbability, long maxExtraDelayMillis) {
-        dropped = dropProbability;
-        duplicated = duplicateProbability;
-        extraDelayMillis = maxExtraDelayMillis;
+    void setLinkFaults(double drop, double duplicate, long maxDelayMillis) {
+        dropProbability = drop;
+        duplicateProbability = duplicate;
+        maxExtraDelayMillis = maxDelayMillis;
     }
 
     /** Advances virtual time by a millisecond. */
@@ -142,7 +142,7 @@
         boolean gone = ended.stream()
                 .anyMatch(v -> v.self().vm().equals(vm)
                         && v.self().incarnation() == incarnation
-                        && now >= v.endMillis() + GONE_LAG_MILLIS);
+                        && now >= v.endMillis() + END_CONFIRMATION_DELAY_MILLIS);
         boolean paused = mutation == LimitMutation.TAKEOVER_UNCONFIRMED
                 && vms.stream().anyMatch(v -> v.self().vm().equals(vm) && !v.isRunning(now));
         return gone || paused;
@@ -166,20 +166,20 @@
     }
 
     private void send(VmAddress from, VmAddress to, PeerMessage message) {
-        if (isCut(from, to) || random.nextDouble() < dropped) {
+        if (isPartitioned(from, to) || random.nextDouble() < dropProbability) {
             return;
         }
         Optional<LimitVm> target = vms.stream().filter(v -> v.self().equals(to)).findFirst();
-        int copies = random.nextDouble() < duplicated ? 2 : 1;
+        int copies = random.nextDouble() < duplicateProbability ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long delay = LINK_MILLIS + (extraDelayMillis > 0 ? random.nextLong(extraDelayMillis) : 0);
+            long delay = LINK_MILLIS + (maxExtraDelayMillis > 0 ? random.nextLong(maxExtraDelayMillis) : 0);
             target.ifPresent(t -> schedule(t, delay, new Event.MessageReceived(from, message), from));
         }
     }
 
-    private boolean isCut(VmAddress one, VmAddress other) {
+    private boolean isPartitioned(VmAddress one, VmAddress other) {
         return !one.dataCentre().equals(other.dataCentre())
-                && cuts.contains(Set.of(one.dataCentre(), other.dataCentre()));
+                && partitions.contains(Set.of(one.dataCentre(), other.dataCentre()));
     }
 
     private void schedule(LimitVm to, long delayMillis, Event event, VmAddress from) {
@@ -195,7 +195,7 @@
             schedule(to, to.resumeMillis() - now, delivery.event(), delivery.from());
         } else if (delivery.event() == null) {
             to.configure(configuration, now);
-        } else if (delivery.from() == null || !isCut(delivery.from(), to.self())) {
+        } else if (delivery.from() == null || !isPartitioned(delivery.from(), to.self())) {
             to.system().handle(delivery.event(), to.localMillis(now), outbox(to));
         }
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitLoad.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitLoad.java
@@ -18,7 +18,7 @@
     private final List<Source> sources = new ArrayList<>();
     private final PriorityQueue<Waiting> waiting = new PriorityQueue<>();
     private final Map<ClientAccountId, List<Long>> admissions = new TreeMap<>();
-    private long inRate;
+    private long withinRate;
     private long refused;
     private long refusedByEvenSplit;
     private long offered;
@@ -37,7 +37,7 @@
     void step() {
         while (!waiting.isEmpty() && waiting.peek().untilMillis() <= fleet.now()) {
             Waiting next = waiting.poll();
-            ask(next.source(), next.vm(), next.arrivedMillis(), next.inRate());
+            requestAdmission(next.source(), next.vm(), next.arrivedMillis(), next.withinRate());
         }
         sources.forEach(Source::step);
     }
@@ -48,7 +48,7 @@
 
     /** Starts the counts anew. */
     void reset() {
-        inRate = 0;
+        withinRate = 0;
         refused = 0;
         refusedByEvenSplit = 0;
         offered = 0;
@@ -57,17 +57,17 @@
 
     /** Refused statements that the ideal bucket admitted, per statement that it admitted. */
     double wrongfulRefusals() {
-        return (double) refused / Math.max(1, inRate);
+        return (double) refused / Math.max(1, withinRate);
     }
 
     double wrongfulRefusalsOfEvenSplit() {
-        return (double) refusedByEvenSplit / Math.max(1, inRate);
+        return (double) refusedByEvenSplit / Math.max(1, withinRate);
     }
 
     /** Wrongful refusals of each client account. */
     Map<ClientAccountId, Double> wrongfulByAccount() {
         Map<ClientAccountId, Double> result = new TreeMap<>();
-        sources.forEach(s -> result.put(s.account, (double) s.refused / Math.max(1, s.inRate)));
+        sources.forEach(s -> result.put(s.account, (double) s.refused / Math.max(1, s.withinRate)));
         return result;
     }
 
@@ -75,7 +75,7 @@
         return offered;
     }
 
-    private void ask(Source source, LimitVm vm, long arrivedMillis, boolean counted) {
+    private void requestAdmission(Source source, LimitVm vm, long arrivedMillis, boolean counted) {
         if (!vm.isRunning(fleet.now())) {
             return;
         }
@@ -95,17 +95,17 @@
     private final class Source {
 
         private final ClientAccountId account;
-        private final double perMilli;
-        private final TokenBucket ideal;
-        private long inRate;
+        private final double arrivalsPerMilli;
+        private final TokenBucket idealBucket;
+        private long withinRate;
         private long refused;
-        private final int[] places = new int[sessions];
+        private final int[] sessionVms = new int[sessions];
         private final Map<Integer, TokenBucket> evenSplit = new HashMap<>();
 
         Source(ClientAccountId account, Rate rate, double fraction) {
             this.account = account;
-            this.perMilli = rate.perSecond() * fraction / 1_000;
-            this.ideal = new TokenBucket(rate.perSecond(), rate.burst(), 0);
+            this.arrivalsPerMilli = rate.perSecond() * fraction / 1_000;
+            this.idealBucket = new TokenBucket(rate.perSecond(), rate.burst(), 0);
             int parts = fleet.vms().size();
             for (int i = 0; i < parts; i++) {
                 evenSplit.put(i, new TokenBucket(rate.perSecond() / parts, rate.burst() / parts, 0));
@@ -113,16 +113,16 @@
         }
 
         void reset() {
-            inRate = 0;
+            withinRate = 0;
             refused = 0;
         }
 
         void step() {
             if (random.nextDouble() < roamsPerSecond / 1_000) {
-                places[random.nextInt(places.length)] =
+                sessionVms[random.nextInt(sessionVms.length)] =
                         random.nextInt(fleet.vms().size());
             }
-            double expected = perMilli;
+            double expected = arrivalsPerMilli;
             while (random.nextDouble() < expected) {
                 arrive();
                 expected -= 1;
@@ -130,13 +130,14 @@
         }
 
         private void arrive() {
-            int vm = places[random.nextInt(places.length)];
-            boolean counted = ideal.tryTake(fleet.now()) && fleet.vms().get(vm).isRunning(fleet.now());
+            int vm = sessionVms[random.nextInt(sessionVms.length)];
+            boolean counted =
+                    idealBucket.tryTake(fleet.now()) && fleet.vms().get(vm).isRunning(fleet.now());
             offered++;
-            LimitLoad.this.inRate += counted ? 1 : 0;
-            inRate += counted ? 1 : 0;
+            LimitLoad.this.withinRate += counted ? 1 : 0;
+            withinRate += counted ? 1 : 0;
             refusedByEvenSplit += !evenSplit.get(vm).tryTake(fleet.now()) && counted ? 1 : 0;
-            ask(this, fleet.vms().get(vm), fleet.now(), counted);
+            requestAdmission(this, fleet.vms().get(vm), fleet.now(), counted);
         }
     }
 
@@ -149,7 +150,7 @@
      */
     record Shape(double fraction, int sessions, double roamsPerSecond) {}
 
-    private record Waiting(long untilMillis, Source source, LimitVm vm, long arrivedMillis, boolean inRate)
+    private record Waiting(long untilMillis, Source source, LimitVm vm, long arrivedMillis, boolean withinRate)
             implements Comparable<Waiting> {
         @Override
         public int compareTo(Waiting other) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitMutation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitMutation.java
@@ -20,7 +20,7 @@
             return new ShareRequest(
                     r.sequence(),
                     r.lender(),
-                    r.demands().stream()
+                    r.reports().stream()
                             .map(d -> new ShareReport(
                                     d.account(),
                                     d.epoch(),
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotRecordTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotRecordTests.java
@@ -26,8 +26,8 @@
     void decodesEncodedRecord() {
         SlotRecord owned = new SlotRecord(Optional.of(VM), 3, 11, 10, Set.of(DATA_CENTRE, new DataCentreId("dc2")));
         assertEquals(owned, SlotRecord.decode("p", owned.encode()).get());
-        SlotRecord handedBack = owned.withOwner(Optional.empty());
-        assertEquals(handedBack, SlotRecord.decode("p", handedBack.encode()).get());
+        SlotRecord released = owned.withOwner(Optional.empty());
+        assertEquals(released, SlotRecord.decode("p", released.encode()).get());
     }
 
     @Test
