--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountLedger.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountLedger.java
@@ -11,20 +11,31 @@
 import org.hyssopswitch.core.identity.VmId;
 
 /**
- * The ledger of one client account at the owner of its slot: what the data centre may lend, what each holder may be
- * using, and the pool of what is not lent.
+ * The ledger of one client account at the VM that owns its slot: what the data centre may lend, what each holder may be
+ * using, and a pool with what is not lent.
  *
  * <p>At all times the committed shares and the pool together are within the limit, in rate and in burst, and tokens
- * only move between them. So over any time {@code t}, all VMs together admit at most {@code rate * t + burst}.
+ * only move between them. Over any period {@code t} all VMs together therefore admit at most {@code rate * t + burst}.
  */
 final class AccountLedger {
 
+    /** Fraction of the rate that is lent; the pool serves new demand from the rest at once. */
     private static final double LENT_RATE_FRACTION = 0.85;
+
+    /** Fraction of the burst that is lent; the pool serves new demand from the rest at once. */
     private static final double LENT_BURST_FRACTION = 0.6;
+
+    /** Burst below which a holder's part stays in the pool. */
     private static final double MIN_LENT_BURST_TOKENS = 4;
+
     private static final double MIN_UNMET_TOKENS = 0.1;
+
+    /** A share is recalled when it exceeds its target by this factor. */
     private static final double RECALL_FACTOR = 1.2;
+
+    /** A holder is unsatisfied when its share is below this fraction of its target. */
     private static final double SATISFIED_FRACTION = 0.9;
+
     private static final long RECALL_INTERVAL_MILLIS = 100;
 
     private final ClientAccountId account;
@@ -41,7 +52,7 @@
     /**
      * Creates the ledger of a client account.
      *
-     * @param adoptUntilMillis until when shares granted by an earlier owner may be in use
+     * @param adoptUntilMillis time until which shares granted by a former owner of the slot may be in use
      */
     AccountLedger(
             ClientAccountId account,
@@ -64,7 +75,10 @@
         return account;
     }
 
-    /** Sets the part of this data centre; what exceeds the former part is not lent before {@link #grow}. */
+    /**
+     * Sets the part of this data centre. Unless {@code grow} is set, what exceeds the former part is not lent before
+     * {@link #grow}.
+     */
     void updatePart(RateShare next, boolean grow, long nowMillis) {
         part = next;
         lendable = grow ? next : lendable.min(next);
@@ -72,7 +86,7 @@
         resizePool(nowMillis);
     }
 
-    /** Allows the whole part to be lent, after the other data centres are known to have shrunk. */
+    /** Allows the whole part to be lent, once the other data centres are known to have reduced theirs. */
     void grow(long nowMillis) {
         lendable = part;
         resizePool(nowMillis);
@@ -83,37 +97,38 @@
         return lendable.equals(part);
     }
 
-    /** Whether all shares that may be in use are within the part. */
+    /** Whether all shares that may still be in use fit within the part. */
     boolean isSettled(long nowMillis) {
         return nowMillis >= adoptUntilMillis && committed(nowMillis).fitsWithin(part);
     }
 
-    /** Whether nothing is lent and nobody asks, so that the ledger may be forgotten once its pool is full. */
+    /** Whether nothing is lent, no holder reports demand and the pool is full, so that the ledger can be discarded. */
     boolean isIdle(long nowMillis) {
         shares.values().removeIf(s -> s.demand() <= 0 && s.committed(nowMillis).equals(RateShare.NONE));
         return shares.isEmpty() && nowMillis >= adoptUntilMillis && isGrown() && pool.tokens(nowMillis) >= pool.burst();
     }
 
-    /** Fills the pool with what has accrued in a time in which nothing was lent. */
+    /** Fills the pool with the tokens that accrued while nothing was lent. */
     void accrue(long unusedMillis, long nowMillis) {
         resizePool(nowMillis);
         pool.deposit(pool.ratePerSecond() * Math.max(0, unusedMillis) / 1_000, nowMillis);
     }
 
-    /** Drops the shares of holders that have ended. */
+    /** Removes the shares of holders that are confirmed to have ended. */
     void removeHolders(Predicate<VmAddress> gone, long nowMillis) {
         if (shares.values().removeIf(s -> gone.test(s.holder()))) {
             resizePool(nowMillis);
         }
     }
 
-    /** Handles a holder's report and returns the share that it is granted. */
+    /** Applies a holder's report and returns the share that it is granted. */
     ShareLease lend(VmAddress holder, ShareReport report, long nowMillis) {
         LentShare share = findOrCreateShare(holder);
         double before = share.committed(nowMillis).burst();
         applyReport(share, report, nowMillis);
         resizePool(nowMillis);
-        // Returned tokens were covered by the burst that this report gives up; more could exceed the burst as a whole.
+        // Returned tokens are covered by the burst that this report gives up; accepting more could exceed the total
+        // burst.
         double freed = Math.max(0, before - share.committed(nowMillis).burst());
         pool.deposit(Math.min(report.returnedTokens(), freed), nowMillis);
         RateShare target = targetShare(share, report.wantedTokens(), nowMillis);
@@ -124,7 +139,10 @@
         return grant(share, noneIfBelowOneToken(target.min(room)), report, nowMillis);
     }
 
-    /** The recalls that let an unsatisfied holder have its target, or that bring all shares within a smaller limit. */
+    /**
+     * Records and returns the recalls that let an unsatisfied holder have its target, or that bring all shares within a
+     * lowered limit.
+     */
     List<Recall> issueRecalls(long nowMillis) {
         List<Recall> recalls = new ArrayList<>();
         if (!needsRecall(nowMillis)) {
@@ -159,7 +177,7 @@
 
     private LentShare findOrCreateShare(VmAddress holder) {
         LentShare share = shares.get(holder.vm());
-        // A higher incarnation proves that the earlier one has ended and with it its share.
+        // A higher incarnation proves that the earlier one has ended, and its share with it.
         if (share == null || share.holder().incarnation() < holder.incarnation()) {
             share = new LentShare(holder);
             shares.put(holder.vm(), share);
@@ -177,7 +195,7 @@
         share.setDemand(report.demand());
     }
 
-    /** Takes over a share granted by the former owner, which cannot change it any more. */
+    /** Adopts a share granted by the former owner of the slot, which can no longer change it. */
     private void adopt(LentShare share, RateShare held, long nowMillis) {
         RateShare before = share.committed(nowMillis);
         share.recordGrant(0, held, settings.minLeaseMillis(), adoptUntilMillis);
@@ -189,7 +207,8 @@
         long duration = share.nextDurationMillis(granted, settings, nowMillis);
         long grantNumber = grantNumbers.getAsLong();
         double added = Math.max(0, granted.burst() - share.committed(nowMillis).burst());
-        // Tokens on their way need room that nobody else fills: burst added by this grant, or reserved by the holder.
+        // Tokens in flight need room that is filled by nothing else: burst added by this grant, or room reserved by
+        // the holder.
         double room = Math.min(granted.burst(), added + report.reservedTokens());
         double surplus = pool.tokens(nowMillis) - Math.max(0, pool.burst() - added);
         double tokens = pool.withdraw(Math.min(room, Math.max(report.wantedTokens(), surplus)), nowMillis);
@@ -205,7 +224,7 @@
         return new ShareLease(account, epoch, grantNumber, amount.rate(), amount.burst(), 0, 0);
     }
 
-    /** The share that a holder should have by its part of the demand. */
+    /** Returns the share that a holder should have, in proportion to its demand. */
     private RateShare targetShare(LentShare share, double wantedTokens, long nowMillis) {
         double total = shares.values().stream().mapToDouble(LentShare::demand).sum();
         if (total <= 0 || share.demand() <= 0) {
@@ -216,13 +235,16 @@
         double tokens = Math.min(wantedTokens, pool.tokens(nowMillis));
         double burst = limit.burst() * LENT_BURST_FRACTION * fraction;
         if (burst < MIN_LENT_BURST_TOKENS) {
-            // Small parts stay in the pool, which hands out tokens as they are needed.
+            // A small part stays in the pool, which hands out tokens on demand.
             return new RateShare(0, tokens);
         }
         return new RateShare(limit.rate() * LENT_RATE_FRACTION * fraction, Math.max(burst, tokens));
     }
 
-    /** A share with a rate but without a whole token of burst is better left in the pool. */
+    /**
+     * Returns no share in place of one with a rate but less than a whole token of burst, which is better left in the
+     * pool.
+     */
     private static RateShare noneIfBelowOneToken(RateShare amount) {
         return amount.rate() > 0 && amount.burst() < 1 ? RateShare.NONE : amount;
     }
@@ -251,10 +273,10 @@
     }
 
     /**
-     * A recall to send.
+     * A recall to send to a holder.
      *
      * @param holder the holder
-     * @param reducedShare the lowered share
+     * @param reducedShare the share that is left to it
      */
     record Recall(VmAddress holder, ShareLease reducedShare) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountSplit.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountSplit.java
@@ -7,11 +7,12 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * How a client account's rate and burst are divided over data centres.
+ * The division of a client account's rate and burst over data centres.
  *
- * @param rate the declared rate and burst
- * @param dataCentres the data centres with a part, in order of their names
- * @param version configuration version that last changed what the split is derived from
+ * @param rate the declared rate and burst of the account
+ * @param dataCentres the data centres that get a part, in order of their names
+ * @param version the configuration version that last changed the databases or the declaration that the split is derived
+ *     from
  */
 record AccountSplit(Rate rate, List<DataCentreId> dataCentres, long version) {
 
@@ -20,8 +21,9 @@
     }
 
     /**
-     * Splits evenly over as many of the data centres as get a whole token of burst, since a smaller part admits
-     * nothing.
+     * Divides the rate evenly over at most as many data centres as the burst has whole tokens: a part with less than
+     * one token of burst would never admit a statement. Where there are more data centres, rendezvous hashing on the
+     * account chooses among them.
      */
     static AccountSplit of(ClientAccountId account, Rate rate, List<DataCentreId> dataCentres, long version) {
         List<DataCentreId> chosen = dataCentres.stream()
@@ -32,7 +34,7 @@
         return new AccountSplit(rate, chosen, version);
     }
 
-    /** The part of a data centre. */
+    /** Returns the part of a data centre, {@link RateShare#NONE} when it has none. */
     RateShare part(DataCentreId dataCentre) {
         if (!dataCentres.contains(dataCentre)) {
             return RateShare.NONE;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountUsage.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/AccountUsage.java
@@ -5,9 +5,13 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 import org.hyssopswitch.core.identity.DataCentreId;
 
-/** The use that callers of this VM make of one client account, and the shares held for it by lending data centre. */
+/**
+ * The use of one client account by the callers of this VM: its demand, its shortages of tokens, and the shares held
+ * from each lending data centre.
+ */
 final class AccountUsage {
 
+    /** Maximum time between two shortages of one period. */
     private static final long MAX_SHORTAGE_GAP_MILLIS = 100;
 
     private final ClientAccountId account;
@@ -55,13 +59,13 @@
         return false;
     }
 
-    /** Counts an arriving statement. */
+    /** Records the arrival of a statement. */
     void recordArrival(long nowMillis) {
         lastUsedMillis = nowMillis;
         meter.count(nowMillis);
     }
 
-    /** Notes that a statement was refused. */
+    /** Records that a statement was refused. */
     void recordRefusal(long nowMillis) {
         lastRefusalMillis = nowMillis;
     }
@@ -70,7 +74,7 @@
         return nowMillis - lastRefusalMillis;
     }
 
-    /** Notes that a statement found no token. */
+    /** Records that a statement found no token. Shortages that are close together count as one period. */
     void recordShortage(long nowMillis) {
         if (nowMillis - lastShortageMillis > MAX_SHORTAGE_GAP_MILLIS) {
             shortageStartMillis = nowMillis;
@@ -80,12 +84,12 @@
         shortageCount++;
     }
 
-    /** Milliseconds for which statements have been finding no token. */
+    /** Returns the time since the start of the latest period of shortage, in milliseconds. */
     long shortageDurationMillis(long nowMillis) {
         return nowMillis - shortageStartMillis;
     }
 
-    /** Statements that found no token since the last request. */
+    /** Returns the number of times that a statement found no token since the last request to a lender. */
     int shortageCount() {
         return shortageCount;
     }
@@ -129,7 +133,7 @@
                 .orElse(maxMillis);
     }
 
-    /** Makes up a whole token of parts of several shares. */
+    /** Takes one token as fractions from several shares. */
     private boolean tryTakeFractions(long nowMillis) {
         if (tokens(nowMillis) < 1) {
             return false;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/Admission.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/Admission.java
@@ -2,14 +2,14 @@
 
 import org.hyssopswitch.core.failure.Refusal;
 
-/** Whether a statement is within its client account's rate and burst. */
+/** The decision on a statement against its client account's rate and burst. */
 public sealed interface Admission {
 
-    /** The statement may run; a token was taken for it. */
+    /** The statement may run; its token has been taken. */
     record Admitted() implements Admission {}
 
     /**
-     * A token is expected soon; ask again for the same statement.
+     * No token is available yet but one is expected soon; the caller asks again for the same statement.
      *
      * @param untilMillis time of the monotonic clock at which to ask again
      */
@@ -18,7 +18,7 @@
     /**
      * The statement is refused.
      *
-     * @param refusal the refusal, which says that the statement has not run
+     * @param refusal the refusal to return to the caller; the statement has not been executed
      */
     record Refused(Refusal refusal) implements Admission {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/DemandMeter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/DemandMeter.java
@@ -1,11 +1,16 @@
 package org.hyssopswitch.core.limit;
 
-/** The arrival rate of a client account's statements at this VM, smoothed over about a second. Follows a rise faster than a fall. */
+/**
+ * The arrival rate of a client account's statements at this VM, as an exponentially weighted moving average over about
+ * a second. It follows a rise faster than a fall.
+ */
 final class DemandMeter {
 
     private static final long WINDOW_MILLIS = 100;
     private static final double RISING_WEIGHT = 0.5;
     private static final double FALLING_WEIGHT = 0.1;
+
+    /** Bounds the work after a long time without a call; after this many empty windows the rate is close to 0. */
     private static final int MAX_WINDOWS = 64;
 
     private long windowStartMillis;
@@ -21,7 +26,7 @@
         arrivals++;
     }
 
-    /** Statements per second. */
+    /** Returns statements per second. */
     double perSecond(long nowMillis) {
         closeWindows(nowMillis);
         return perSecond;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/EvenSplitRateLimiter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/EvenSplitRateLimiter.java
@@ -13,8 +13,8 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 
 /**
- * Gives every VM the same fixed part of each client account's rate and burst. Needs no messages, but wastes the parts
- * of VMs that an account does not use; the baseline against which the leased shares is measured.
+ * Gives each VM the same fixed part of each client account's rate and burst. It needs no messages but wastes the parts
+ * of VMs that an account does not use; it is the baseline against which leased shares are measured.
  */
 public final class EvenSplitRateLimiter implements RateLimiter, DecisionSystem {
 
@@ -24,13 +24,13 @@
     private final Map<ClientAccountId, TokenBucket> buckets = new HashMap<>();
 
     /**
-     * Creates a limiter that admits nothing until it is configured.
+     * Creates a limiter that refuses all statements until it is configured.
      *
      * @param parts the number of VMs that share each rate, 1 or more
      */
     public EvenSplitRateLimiter(int parts) {
         if (parts < 1) {
-            throw new IllegalArgumentException("a rate must be split into 1 part or more, but is into " + parts);
+            throw new IllegalArgumentException("the number of parts must be 1 or more, but is " + parts);
         }
         this.parts = parts;
     }
@@ -50,12 +50,12 @@
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        // Buckets refill when they are used.
+        // Buckets refill on use.
     }
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        // Fixed parts depend on no event.
+        // Fixed parts depend only on the configuration.
     }
 
     @Override
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/HeldShare.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/HeldShare.java
@@ -4,13 +4,13 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 import org.hyssopswitch.core.identity.VmAddress;
 
-/** The share of one client account that this VM holds of one data centre's part. */
+/** The share of one client account that this VM holds from one data centre. */
 final class HeldShare {
 
-    /** Age of a request beyond which its answer is ignored. */
+    /** Age of a request, in milliseconds, beyond which its answer is ignored. */
     static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
-    /** Renewals fall on a common grid, so that those to one lender travel in one message. */
+    /** Renewals are aligned to a quarter of the lease, so that those to one lender go out in one message. */
     private static final long RENEWAL_STEPS_PER_LEASE = 4;
 
     private static final double MIN_RELEASED_TOKENS = 0.5;
@@ -30,12 +30,12 @@
         bucket = new TokenBucket(0, 0, nowMillis);
     }
 
-    /** Takes up to a number of tokens while the lease lasts. */
+    /** Takes up to the wanted number of tokens, none once the lease has expired. */
     double withdraw(double wanted, long nowMillis) {
         return isValid(nowMillis) ? bucket.withdraw(wanted, nowMillis) : 0;
     }
 
-    /** Takes a token while the lease lasts. */
+    /** Takes one token if there is one and the lease has not expired. */
     boolean tryTake(long nowMillis) {
         return isValid(nowMillis) && bucket.tryTake(nowMillis);
     }
@@ -44,12 +44,12 @@
         return nowMillis < leaseEndMillis && bucket.burst() > 0;
     }
 
-    /** Whether tokens that were handed over without a rate have been used, so that their burst can be given back. */
+    /** Whether tokens that were granted without a rate have been used, so that their burst can be given back. */
     boolean isExhausted(long nowMillis) {
         return bucket.ratePerSecond() <= 0 && bucket.burst() - bucket.tokens(nowMillis) >= MIN_RELEASED_TOKENS;
     }
 
-    /** What this VM may use now. */
+    /** Returns the rate and burst that this VM may use now, {@link RateShare#NONE} once the lease has expired. */
     RateShare currentShare(long nowMillis) {
         return nowMillis < leaseEndMillis ? new RateShare(bucket.ratePerSecond(), bucket.burst()) : RateShare.NONE;
     }
@@ -70,12 +70,12 @@
         return nowMillis >= nextRenewalMillis;
     }
 
-    /** Milliseconds since the last request. */
+    /** Returns the milliseconds since the last request to the lender. */
     long millisSinceRequest(long nowMillis) {
         return nowMillis - lastRequestMillis;
     }
 
-    /** Requests since the last answer. */
+    /** Returns the number of requests since the lender's last answer. */
     int unansweredRequests() {
         return unansweredRequests;
     }
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Prepares the report to a lender. From now on only this lender can change the share, so that a new owner may take
-     * over what is reported.
+     * Prepares a report to a lender. From then on only this lender can change the share, so that a new owner of the
+     * slot can adopt the share as reported.
      */
     ShareReport prepareReport(ClientAccountId account, VmAddress to, Demand demand, long nowMillis) {
         lender = Optional.of(to);
@@ -109,7 +109,10 @@
                 demand.missingTokens());
     }
 
-    /** Applies a grant that answers a request; grants that came late or from another VM are ignored. */
+    /**
+     * Applies a grant that answers a request; an outdated grant or one from another VM than the lender last reported to
+     * is ignored.
+     */
     boolean applyGrant(VmAddress from, ShareLease lease, long requestMillis, long nowMillis) {
         if (!accepts(from, lease)) {
             return false;
@@ -126,7 +129,7 @@
         return true;
     }
 
-    /** Lowers the share; its lease ends as before. */
+    /** Lowers the share to what the recall leaves; the end of its lease is unchanged. */
     boolean applyRecall(VmAddress from, ShareLease reduced, long nowMillis) {
         if (epoch != reduced.epoch() || !accepts(from, reduced)) {
             return false;
@@ -136,13 +139,13 @@
         return true;
     }
 
-    /** Gives the whole share up; its tokens go with the next report. */
+    /** Gives up the whole share; its tokens are returned with the next report. */
     void surrender(long nowMillis) {
         returnableTokens += bucket.tokens(nowMillis);
         bucket.resize(0, 0, nowMillis);
     }
 
-    /** Reserves room for tokens unless the answer to an earlier request may still bring some. */
+    /** Reserves room for tokens in the bucket, unless the answer to an earlier reservation may still arrive. */
     private double reserve(double tokens, long nowMillis) {
         if (nowMillis - lastReservationMillis <= ANSWER_TIMEOUT_MILLIS) {
             return 0;
@@ -151,7 +154,10 @@
         return bucket.reserve(tokens, nowMillis);
     }
 
-    /** A share whose lease has ended may be lent to others, and its tokens with it. */
+    /**
+     * Empties a share whose lease has expired: the lender may already have lent its rate and its tokens to another
+     * holder.
+     */
     private void clearIfExpired(long nowMillis) {
         if (nowMillis >= leaseEndMillis) {
             bucket.resize(0, 0, nowMillis);
@@ -173,10 +179,10 @@
     }
 
     /**
-     * What a holder needs.
+     * The demand of the holder that a report states.
      *
      * @param perSecond statements that arrive per second
-     * @param missingTokens tokens lacked now
+     * @param missingTokens tokens needed now beyond those available
      */
     record Demand(double perSecond, double missingTokens) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LentShare.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LentShare.java
@@ -5,9 +5,9 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /**
- * What a lender knows of the share of one holder: its demand, and every grant that the holder may still be using.
+ * The lender's view of the share of one holder: its demand, and every grant that the holder may still be using.
  *
- * <p>A grant counts until the holder confirms a later one or until the lease has ended by the lender's own clock.
+ * <p>A grant counts until the holder confirms a later one or until the lease has expired by the lender's own clock.
  */
 final class LentShare {
 
@@ -28,7 +28,7 @@
         return holder;
     }
 
-    /** Tokens that the holder wanted and did not get. */
+    /** Returns the number of tokens that the holder requested and did not get. */
     double unmetTokens() {
         return unmetTokens;
     }
@@ -49,7 +49,7 @@
         return lastRecallMillis;
     }
 
-    /** The most that the holder may be using. */
+    /** Returns the largest rate and the largest burst that the holder may be using. */
     RateShare committed(long nowMillis) {
         outstanding.removeIf(o -> o.endMillis() <= nowMillis);
         RateShare largest = RateShare.NONE;
@@ -59,13 +59,16 @@
         return largest;
     }
 
-    /** The amount of the latest grant. */
+    /** Returns the share of the latest grant, {@link RateShare#NONE} when no grant is outstanding. */
     RateShare latestGranted(long nowMillis) {
         outstanding.removeIf(o -> o.endMillis() <= nowMillis);
         return outstanding.isEmpty() ? RateShare.NONE : outstanding.peekLast().share();
     }
 
-    /** Records what the holder held when it had applied a grant; earlier grants will not be used any more. */
+    /**
+     * Records the share that the holder reports as of a grant that it has applied; it will not use earlier grants any
+     * more.
+     */
     void confirmGrant(long appliedGrant, RateShare held, long nowMillis) {
         long end = nowMillis;
         while (!outstanding.isEmpty() && outstanding.peekFirst().grantNumber() <= appliedGrant) {
@@ -76,13 +79,13 @@
         }
     }
 
-    /** Records a grant before it is sent. */
+    /** Records a grant; must be called before the grant is sent. */
     void recordGrant(long grantNumber, RateShare share, long leaseMillis, long endMillis) {
         lastDurationMillis = leaseMillis;
         add(new OutstandingGrant(grantNumber, share, endMillis));
     }
 
-    /** Records a recall before it is sent; the lease ends no later than before. */
+    /** Records a recall; must be called before the recall is sent. The lease does not end earlier than before. */
     void recordRecall(long grantNumber, RateShare share, long nowMillis) {
         long end = outstanding.stream()
                 .mapToLong(OutstandingGrant::endMillis)
@@ -93,7 +96,7 @@
         add(new OutstandingGrant(grantNumber, share, end));
     }
 
-    /** The duration of the next lease, which doubles while the size stays about the same. */
+    /** Returns the duration of the next lease, which doubles while the rate changes by at most a quarter. */
     long nextDurationMillis(RateShare next, LimitSettings settings, long nowMillis) {
         RateShare last = latestGranted(nowMillis);
         boolean stable = Math.abs(next.rate() - last.rate()) <= 0.25 * last.rate();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
@@ -17,10 +17,11 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Keeps each client account within its rate and burst over all VMs together, by shares that are lent and confirmed.
+ * Keeps each client account within its rate and burst over all VMs together, by means of leased shares whose return is
+ * confirmed.
  *
- * <p>A VM plays two parts: it holds shares for its own callers, and it lends the rates of the client accounts whose
- * slots it owns in its data centre.
+ * <p>A VM has two roles: it holds shares for its own callers, and it lends the rates of the client accounts whose slots
+ * it owns in its data centre.
  */
 public final class LimitSystem implements DecisionSystem, RateLimiter {
 
@@ -33,11 +34,11 @@
     private final SplitTable splits;
 
     /**
-     * Creates a system that admits nothing until it is configured and has been lent shares.
+     * Creates a system that admits nothing until it is configured and has been granted shares.
      *
-     * @param view the VMs that this VM knows
-     * @param settings times and sizes
-     * @param callNumbers numbers for calls to the platform, unique on this VM
+     * @param view the VMs known to this VM
+     * @param settings settings of the distribution of shares
+     * @param callNumbers supplies numbers for calls to the platform, unique on this VM
      * @param random source of the jitter of retries
      */
     public LimitSystem(MembershipView view, LimitSettings settings, LongSupplier callNumbers, RandomGenerator random) {
@@ -89,7 +90,7 @@
     }
 
     /**
-     * Gives up all slots, and returns the shares that callers of this VM no longer use. To be called again until
+     * Releases all slots and returns the shares that callers of this VM no longer use. Must be called repeatedly until
      * {@link #isReleased}.
      *
      * @param nowMillis milliseconds of the monotonic clock
@@ -100,32 +101,32 @@
         ownership.releaseAll();
     }
 
-    /** Whether no share is held and the platform's records no longer name this VM as the owner of a slot. */
+    /** Whether no share is held and no record of the platform names this VM as the owner of a slot. */
     public boolean isReleased() {
         return ownership.isReleased() && holder.accountCount() == 0;
     }
 
-    /** The slots that this VM owns. */
+    /** Returns the number of slots that this VM owns. */
     public long ownedSlots() {
         return ownership.ownedSlots();
     }
 
-    /** What this VM holds of a client account's rate and burst. */
+    /** Returns the share of a client account's rate and burst that this VM holds. */
     RateShare heldShare(ClientAccountId account, long nowMillis) {
         return holder.heldShare(account, nowMillis);
     }
 
-    /** The client accounts that this VM lends from. */
+    /** Returns the number of client accounts that this VM lends from. */
     public int lentAccounts() {
         return lender.accountCount();
     }
 
-    /** The client accounts that callers of this VM use. */
+    /** Returns the number of client accounts that callers of this VM use. */
     public int heldAccounts() {
         return holder.accountCount();
     }
 
-    /** Delivers messages of this VM to itself at once, since it may hold what it lends. */
+    /** Delivers messages addressed to this VM itself at once, since a VM may hold shares that it lends. */
     private Outbox loopBack(long nowMillis, Outbox out) {
         return action -> {
             if (action instanceof Action.SendMessage send && send.to().equals(view.self())) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/RateLimiter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/RateLimiter.java
@@ -8,7 +8,7 @@
 public interface RateLimiter {
 
     /**
-     * Takes one statement from the share.
+     * Takes the token of one statement from the share.
      *
      * @param account the client account
      * @param nowMillis milliseconds of the monotonic clock
@@ -17,8 +17,8 @@
     Option<Refusal> tryAcquire(ClientAccountId account, long nowMillis);
 
     /**
-     * Takes one statement from the share, or says how long the statement should wait for its token. A limiter that
-     * distributes shares needs this wait when a client account turns to a VM that holds none yet.
+     * Takes the token of one statement from the share, or says when to ask again for it. A limiter that distributes
+     * shares uses the wait to obtain one when a client account turns to a VM that holds none yet.
      *
      * @param account the client account
      * @param firstAskedMillis time of the monotonic clock of the first call for this statement
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/RateShare.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/RateShare.java
@@ -4,7 +4,7 @@
  * A part of a client account's rate and burst.
  *
  * @param rate statements per second, 0 or more
- * @param burst statements, 0 or more
+ * @param burst tokens, 0 or more
  */
 record RateShare(double rate, double burst) {
 
@@ -21,7 +21,7 @@
         return new RateShare(rate + other.rate, burst + other.burst);
     }
 
-    /** The difference; where the other amount is larger, 0. */
+    /** Subtracts rate and burst separately; neither result is less than 0. */
     RateShare minus(RateShare other) {
         return new RateShare(Math.max(0, rate - other.rate), Math.max(0, burst - other.burst));
     }
@@ -38,7 +38,7 @@
         return new RateShare(rate * factor, burst * factor);
     }
 
-    /** Whether both parts are at most those of the other amount, but for rounding. */
+    /** Whether neither rate nor burst exceeds that of the other share, apart from rounding errors. */
     boolean fitsWithin(RateShare other) {
         return rate <= other.rate + 1e-9 && burst <= other.burst + 1e-9;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SettleRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SettleRequest.java
@@ -4,7 +4,8 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks the owner of a slot to record soon that its shares are within a configuration version.
+ * Asks the owner of a slot to record as soon as possible that its outstanding shares fit the splits of a configuration
+ * version.
  *
  * @param lender data centre of the slot
  * @param slot the slot
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareHolder.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareHolder.java
@@ -19,17 +19,30 @@
 import org.hyssopswitch.core.membership.MembershipView;
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
-/** Holds shares for the callers of this VM, and asks lenders for what their demand needs. */
+/** Holds shares for the callers of this VM and requests from lenders what their demand needs. */
 final class ShareHolder implements RateLimiter {
 
     private static final long SCAN_INTERVAL_MILLIS = 250;
     private static final long ANSWER_TIMEOUT_MILLIS = HeldShare.ANSWER_TIMEOUT_MILLIS;
     private static final long MAX_RETRY_AFTER_MILLIS = 1_000;
     private static final long MAX_REQUEST_INTERVAL_MILLIS = 320;
+
+    /** Time without a statement after which a VM that releases its slots returns a share. */
     private static final long RELEASE_IDLE_MILLIS = 500;
+
+    /** Duration of a shortage after which the next data centre is asked too. */
     private static final long ESCALATION_STEP_MILLIS = 30;
+
+    /** Unanswered requests after which the known owner of a slot is forgotten. */
     private static final int MAX_UNANSWERED_REQUESTS = 3;
+
+    /**
+     * Demand above this multiple of the held rate, shortly after a refusal, marks an account as saturated: its
+     * statements are refused without a wait and its lenders are asked less often.
+     */
     private static final double SATURATION_FACTOR = 1.5;
+
+    /** Period of demand for which tokens are requested in advance. */
     private static final double LOOKAHEAD_SECONDS = 0.1;
 
     private final MembershipView view;
@@ -76,12 +89,12 @@
         return new Admission.Wait(Math.min(end, nowMillis + settings.requestIntervalMillis()));
     }
 
-    /** Client accounts in use on this VM. */
+    /** Returns the number of client accounts in use on this VM. */
     int accountCount() {
         return usages.size();
     }
 
-    /** What this VM holds of a client account's rate and burst. */
+    /** Returns the share of a client account's rate and burst that this VM holds from all lenders together. */
     RateShare heldShare(ClientAccountId account, long nowMillis) {
         AccountUsage usage = usages.get(account);
         if (usage == null) {
@@ -138,7 +151,7 @@
         locator.recordOwner(redirect.lender(), redirect.slot(), redirect.owner());
     }
 
-    /** Returns the shares of client accounts without a statement of late. */
+    /** Returns to their lenders the shares of client accounts that had no statement recently. */
     void returnUnused(long nowMillis, Outbox out) {
         Batches batches = new Batches();
         usages.values()
@@ -146,7 +159,10 @@
         batches.send(nowMillis, out);
     }
 
-    /** Looks after one client account; true when it is idle and its shares have been returned. */
+    /**
+     * Renews the shares of one client account and requests more if needed; returns true when the account is idle and
+     * its shares have been returned.
+     */
     private boolean maintainAccount(AccountUsage usage, Batches batches, long nowMillis) {
         if (usage.idleMillis(nowMillis) >= settings.idleTimeoutMillis()) {
             return returnShares(usage, batches, nowMillis);
@@ -164,7 +180,10 @@
         return false;
     }
 
-    /** Asks for more: first the own data centre and, while its share is not enough, one after the other of the rest. */
+    /**
+     * Requests more: at first from the local data centre and, while the shortage lasts, from the others one after
+     * another.
+     */
     private void requestMore(AccountUsage usage, Batches batches, long nowMillis) {
         long interval = requestIntervalMillis(usage, nowMillis);
         long escalationMillis = 0;
@@ -191,7 +210,10 @@
         return lenders;
     }
 
-    /** Asks often while statements wait, and seldom when the account as a whole is beyond its rate. */
+    /**
+     * Returns the interval between requests: short while statements wait, long when the account as a whole exceeds its
+     * rate.
+     */
     private long requestIntervalMillis(AccountUsage usage, long nowMillis) {
         boolean overRate = usage.millisSinceRefusal(nowMillis) < MAX_RETRY_AFTER_MILLIS
                 && usage.demand(nowMillis) > SATURATION_FACTOR * usage.heldRate(nowMillis);
@@ -292,7 +314,7 @@
 
     private record Target(VmAddress to, DataCentreId lender) {}
 
-    /** Collects reports into one message for each lender. */
+    /** Batches the reports to each lender. */
     private final class Batches {
 
         private final Map<Target, List<ShareReport>> reports = new LinkedHashMap<>();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLease.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLease.java
@@ -7,11 +7,11 @@
  *
  * @param account the client account
  * @param epoch epoch of the slot
- * @param grant number that grows with every grant and recall to this holder
+ * @param grant number that increases with every grant and recall to this holder
  * @param rate statements per second
- * @param burst tokens that the holder may keep
- * @param tokens tokens handed over
- * @param durationMillis duration of the lease, counted by the holder from the sending of its request
+ * @param burst tokens that the holder may accumulate
+ * @param tokens tokens transferred with the grant
+ * @param durationMillis duration of the lease, which the holder counts from the sending of its request
  */
 public record ShareLease(
         ClientAccountId account,
@@ -27,7 +27,7 @@
         double smallest = Math.min(Math.min(rate, burst), tokens);
         if (!(smallest >= 0) || durationMillis < 0) {
             throw new IllegalArgumentException("the numbers of a share of " + account
-                    + " must not be negative, but the least of its amounts is " + smallest + " and its duration "
+                    + " must not be negative, but the smallest of its amounts is " + smallest + " and its duration "
                     + durationMillis + " ms");
         }
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLender.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareLender.java
@@ -44,7 +44,7 @@
         this.locator = locator;
     }
 
-    /** Client accounts with a ledger. */
+    /** Returns the number of client accounts that have a ledger. */
     int accountCount() {
         return ledgers.size();
     }
@@ -72,7 +72,7 @@
         sendRecalls(recallsByHolder, out);
     }
 
-    /** Whether all shares of a slot are within the splits in force. */
+    /** Whether all outstanding shares of a slot fit the splits in force. */
     boolean isSettled(int slot, long nowMillis) {
         return nowMillis >= ownership.adoptUntilMillis(slot)
                 && ledgers.values().stream().filter(l -> slotOf(l) == slot).allMatch(l -> l.isSettled(nowMillis));
@@ -100,7 +100,9 @@
         sendRecalls(recallsByHolder, out);
     }
 
-    /** A request that is not newer than the last one of its sender is a duplicate or came late. */
+    /**
+     * Whether a request is newer than the last one of its sender; otherwise it is a duplicate or arrived out of order.
+     */
     private boolean isNew(VmAddress from, long sequence) {
         LastRequest last = lastRequests.get(from.vm());
         boolean isNew = last == null
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/ShareRequest.java
@@ -5,11 +5,11 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Renews, asks for or returns shares.
+ * Renews, requests or returns shares.
  *
- * @param sequence grows with every request of the sending incarnation
- * @param lender data centre whose part of the rates is asked for
- * @param reports one entry for each client account
+ * @param sequence number that increases with every request of the sending incarnation
+ * @param lender data centre whose part of the rates is requested
+ * @param reports one report for each client account
  */
 public record ShareRequest(long sequence, DataCentreId lender, List<ShareReport> reports) implements PeerMessage {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
@@ -12,8 +12,8 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * Finds the VM to turn to for a slot: the owner that was last heard of, or else the VM that ranks highest for the slot
- * and so becomes its owner when there is none.
+ * Finds the VM that requests for a slot are sent to: the last known owner, or else the highest-ranked candidate, which
+ * takes over a slot without an owner.
  */
 final class SlotLocator {
 
@@ -28,12 +28,12 @@
         this.splits = splits;
     }
 
-    /** Forgets what was derived from an earlier configuration. */
+    /** Clears what was derived from an earlier configuration. */
     void clearCandidates() {
         selfIsCandidate.clear();
     }
 
-    /** Whether this VM should own a slot of its data centre when nobody does. */
+    /** Whether this VM should take over a slot of its data centre that has no owner. */
     boolean isOwnCandidate(int slot) {
         if (candidatesVersion != view.version()) {
             candidatesVersion = view.version();
@@ -50,7 +50,7 @@
         });
     }
 
-    /** The VM that should own a slot when nobody does. */
+    /** Returns the VM that should take over a slot that has no owner. */
     Optional<VmAddress> candidate(DataCentreId dataCentre, int slot) {
         List<CellId> cells = splits.cells(dataCentre);
         VmAddress self = view.self();
@@ -63,7 +63,7 @@
                         .thenComparing(RendezvousUtils.byScore(SlotUtils.path(dataCentre, slot), a -> a.vm().value())));
     }
 
-    /** The VM to send a request to. */
+    /** Returns the VM to send a request to. */
     Optional<VmAddress> find(DataCentreId dataCentre, int slot) {
         VmAddress known = owners.get(SlotUtils.path(dataCentre, slot));
         if (known != null && !view.isConfirmedGone(known.vm(), known.incarnation())) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
@@ -21,7 +21,7 @@
 import org.hyssopswitch.core.retry.Backoff;
 
 /**
- * Takes over the slots of the own data centre that nobody owns and that this VM ranks highest for, by conditional
+ * Takes over the slots of the local data centre that have no owner and for which this VM ranks highest, by conditional
  * updates of their records. An update without an answer is resolved by reading the record again.
  */
 final class SlotOwnership {
@@ -68,7 +68,7 @@
         return slots.get(slot).isOwned() && !releasing;
     }
 
-    /** The slots that this VM owns. */
+    /** Returns the number of slots that this VM owns. */
     long ownedSlots() {
         return slots.stream().filter(SlotState::isOwned).count();
     }
@@ -85,12 +85,15 @@
         return slots.get(slot).grownVersion();
     }
 
-    /** Time since which the grown version's splits may be lent in full and no share of a former owner is in use. */
+    /**
+     * Returns the time since which the splits of the grown version may be lent in full and no share of a former owner
+     * is in use.
+     */
     long grownSinceMillis(int slot) {
         return slots.get(slot).grownSinceMillis();
     }
 
-    /** Configuration version below which this VM must not lend from a slot. */
+    /** Returns the lowest configuration version that this VM must have before it may lend from a slot. */
     long requiredVersion(int slot) {
         return slots.get(slot)
                 .record()
@@ -105,7 +108,10 @@
                 .filter(o -> !view.isConfirmedGone(o.vm(), o.incarnation()));
     }
 
-    /** Notes that a holder takes this VM for the owner, so that an old record is read again. */
+    /**
+     * Records that a holder takes this VM for the owner of a slot that it does not own; a record that is not recent is
+     * read again.
+     */
     void recordMisdirectedRequest(int slot, long nowMillis) {
         SlotState state = slots.get(slot);
         if (nowMillis - state.readMillis() >= MIN_REREAD_INTERVAL_MILLIS && !state.hasPendingCalls()) {
@@ -117,7 +123,12 @@
         slots.get(slot).requestSettlement(version);
     }
 
-    /** Follows a change of the splits from a former configuration version. */
+    /**
+     * Handles a change of the configuration after a previous version.
+     *
+     * @param previousVersion the configuration version before the change
+     * @param movedSlots the slots with accounts whose data centres changed
+     */
     void configure(long previousVersion, Set<Integer> movedSlots) {
         for (SlotState state : slots) {
             if (movedSlots.contains(state.slot())) {
@@ -128,7 +139,7 @@
         }
     }
 
-    /** Begins to give up all slots; their records are written without an owner. */
+    /** Starts to release all slots; their records are written without an owner. */
     void releaseAll() {
         releasing = true;
     }
@@ -192,12 +203,15 @@
     }
 
     private SlotRecord claimed(SlotRecord record) {
-        // A slot that was never owned has no shares out, so it is settled for any version.
+        // A slot that was never owned has no outstanding shares, so it is settled for any version.
         SlotRecord next = record.withOwner(Optional.of(view.self()));
         return record.epoch() == 0 ? next.withSettledVersion(splits.version(), splits.dataCentres()) : next;
     }
 
-    /** Records that the slot has shrunk, and then, when all other data centres have too, that it may grow. */
+    /**
+     * Records first that the slot is settled for a version and then, once all other data centres are settled too, that
+     * it may grow.
+     */
     private void advanceVersions(SlotState state, SlotRecord record, ShareLender lender, long nowMillis, Outbox out) {
         long wanted = splits.slotVersion(state.slot());
         if (wanted > state.grownVersion()) {
@@ -213,7 +227,10 @@
         }
     }
 
-    /** The records of other data centres are read after the own one says settled, so that two cannot both grow. */
+    /**
+     * Reads the records of the other data centres only after this data centre's own record is settled; this order keeps
+     * two data centres from growing at the same time.
+     */
     private void advanceGrowth(SlotState state, SlotRecord record, long nowMillis, Outbox out) {
         boolean complete = true;
         Set<DataCentreId> dataCentres = new TreeSet<>(splits.dataCentres());
@@ -245,12 +262,18 @@
                         new Action.SendMessage(o, new SettleRequest(dataCentre, state.slot(), state.wantedVersion()))));
     }
 
-    /** A record settled for a version that this VM does not know yet may have given room to somebody else. */
+    /**
+     * Whether the record of another data centre permits this slot to grow. A record settled for a version that this VM
+     * does not know yet does not: that version may have moved the room to yet another data centre.
+     */
     private boolean permitsGrowth(SlotRecord other, long version) {
         return other.epoch() == 0 || (other.settledVersion() >= version && other.settledVersion() <= splits.version());
     }
 
-    /** A VM that has just started takes itself for the only candidate, so the view must have been stable for a while. */
+    /**
+     * Whether this VM should take over a slot. Requires a view that has been stable for a while, because a VM that has
+     * just started sees itself as the only candidate.
+     */
     private boolean isCandidate(int slot, long nowMillis) {
         boolean stable = nowMillis - viewChangedMillis >= MIN_STABLE_VIEW_MILLIS;
         return stable && locator.isOwnCandidate(slot);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotRecord.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotRecord.java
@@ -16,10 +16,10 @@
 import org.hyssopswitch.core.identity.VmId;
 
 /**
- * The platform's record of who owns a slot.
+ * The platform's record of the owner of a slot.
  *
- * @param owner the owner; empty when the slot was handed back or never owned
- * @param epoch grows with every change of the owner; 0 when the slot was never owned
+ * @param owner the owner; empty when the slot was released or never owned
+ * @param epoch number that increases with every new owner; 0 when the slot was never owned
  * @param settledVersion configuration version whose splits the slot's outstanding shares do not exceed
  * @param grownVersion configuration version whose splits the slot may lend in full
  * @param dataCentres data centres that may have lent parts since the grown version
@@ -41,14 +41,17 @@
         return new SlotRecord(next, next.isPresent() ? epoch + 1 : epoch, settledVersion, grownVersion, dataCentres);
     }
 
-    /** A record settled for a version under which data centres have parts. */
+    /** Returns the record settled for a version, with the data centres that have parts under it added. */
     SlotRecord withSettledVersion(long version, Set<DataCentreId> configured) {
         Set<DataCentreId> all = new TreeSet<>(dataCentres);
         all.addAll(configured);
         return new SlotRecord(owner, epoch, version, grownVersion, all);
     }
 
-    /** A record that may lend a version's parts in full, after all other data centres have settled for it. */
+    /**
+     * Returns the record that may lend a version's parts in full. All other data centres must have settled for the
+     * version.
+     */
     SlotRecord withGrownVersion(long version, Set<DataCentreId> configured) {
         return new SlotRecord(owner, epoch, settledVersion, version, configured);
     }
@@ -78,7 +81,7 @@
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Decodes a record; an empty value is that of an object that does not exist. */
+    /** Decodes a record. The value of an object that does not exist is empty and decodes to {@link #NEVER_OWNED}. */
     static Either<Failure, SlotRecord> decode(String path, byte[] value) {
         if (value.length == 0) {
             return Either.right(NEVER_OWNED);
@@ -114,7 +117,7 @@
     }
 
     /**
-     * The object's value is no slot record.
+     * The object's value is not a valid slot record.
      *
      * @param path path of the object
      * @param detail what is wrong with it
@@ -122,7 +125,7 @@
     record Malformed(String path, String detail) implements Failure {
         @Override
         public String describe() {
-            return "object " + path + " is no slot record: " + detail;
+            return "object " + path + " is not a valid slot record: " + detail;
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotState.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotState.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.core.identity.DataCentreId;
 import org.hyssopswitch.core.identity.VmAddress;
 
-/** What this VM knows of one slot of its data centre. */
+/** The state of one slot of the local data centre as known to this VM. */
 final class SlotState {
 
     private final int slot;
@@ -34,7 +34,7 @@
         return slot;
     }
 
-    /** The record as last read or written; empty before the first read. */
+    /** Returns the record as last read or written; empty before the first read. */
     Optional<SlotRecord> record() {
         return record;
     }
@@ -55,17 +55,20 @@
         return adoptUntilMillis;
     }
 
-    /** Configuration version up to which all splits may be lent in full. */
+    /** Returns the configuration version up to which all splits may be lent in full. */
     long grownVersion() {
         return grownVersion;
     }
 
-    /** Time since which the splits of the grown version may be lent in full. */
+    /**
+     * Returns the time since which the splits of the grown version may be lent in full and no share of a former owner
+     * is in use.
+     */
     long grownSinceMillis() {
         return Math.max(grownMillis, adoptUntilMillis);
     }
 
-    /** Configuration version up to which growth is wanted. */
+    /** Returns the configuration version up to which growth is requested. */
     long wantedVersion() {
         return wantedVersion;
     }
@@ -78,7 +81,7 @@
         }
     }
 
-    /** Configuration version that the record should be settled for. */
+    /** Returns the configuration version for which the record should be settled. */
     long settleVersion() {
         return settleVersion;
     }
@@ -124,7 +127,7 @@
         proposed = Optional.of(next);
     }
 
-    /** Requires the record to be read again, for example after an update without an answer. */
+    /** Requires the record to be read before the next update, for example after an update without an answer. */
     void requireRead() {
         readRequired = true;
     }
@@ -134,7 +137,10 @@
         return readRequired || record.isEmpty();
     }
 
-    /** Takes a record that was read or written; an update whose answer was lost shows as the proposed record. */
+    /**
+     * Applies a record that was read or written. An update that took effect although its answer was lost is read back
+     * as the proposed record.
+     */
     void applyRecord(SlotRecord next, long version, VmAddress self, long previousLeasesEndMillis, long nowMillis) {
         boolean ownedBySelf = next.owner().filter(self::equals).isPresent();
         if (ownedBySelf && !owned) {
@@ -161,7 +167,10 @@
         owned = false;
     }
 
-    /** Advances the grown version over a configuration change that moved no account of this slot. */
+    /**
+     * Advances the grown version over a configuration change that left the data centres of this slot's accounts
+     * unchanged.
+     */
     void carryGrownVersion(long from, long to) {
         if (owned && grownVersion >= from) {
             grownVersion = to;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotUtils.java
@@ -4,17 +4,17 @@
 import org.hyssopswitch.core.identity.DataCentreId;
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
-/** Names of slots and their client accounts. */
+/** Maps client accounts to slots, and slots to the paths of their records. */
 final class SlotUtils {
 
     private SlotUtils() {}
 
-    /** The slot of a client account; the same in every data centre. */
+    /** Returns the slot of a client account; the same in every data centre. */
     static int slotOf(ClientAccountId account, int slots) {
         return (int) Long.remainderUnsigned(RendezvousUtils.score("slot", account.value()), slots);
     }
 
-    /** Path of the object that records the owner of a slot. */
+    /** Returns the path of the object that records the owner of a slot. */
     static String path(DataCentreId dataCentre, int slot) {
         return "limits/" + dataCentre + "/" + slot;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SplitTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SplitTable.java
@@ -21,8 +21,8 @@
 import org.hyssopswitch.core.identity.TeamId;
 
 /**
- * The splits of client accounts under the configuration in force, and the cells of each data centre. A new
- * configuration costs time for its changed subtrees only.
+ * The splits of client accounts under the configuration in force, and the cells of each data centre. Of a new
+ * configuration only the teams that changed are applied.
  */
 final class SplitTable {
 
@@ -35,7 +35,7 @@
     private long version;
 
     /**
-     * Creates a table of no configuration.
+     * Creates a table without a configuration.
      *
      * @param slots slots per data centre
      */
@@ -43,7 +43,7 @@
         slotVersions = new long[slots];
     }
 
-    /** The configuration version. */
+    /** Returns the version of the configuration in force. */
     long version() {
         return version;
     }
@@ -52,23 +52,23 @@
         return Optional.ofNullable(declaredAccounts.get(account)).map(this::split);
     }
 
-    /** The data centres named by the configuration. */
+    /** Returns the data centres named by the configuration. */
     Set<DataCentreId> dataCentres() {
         return cells.keySet();
     }
 
-    /** The cells that endpoints of a data centre belong to, in order of their names. */
+    /** Returns the cells that endpoints of a data centre belong to, in order of their names. */
     List<CellId> cells(DataCentreId dataCentre) {
         TreeMap<CellId, Integer> counts = cells.get(dataCentre);
         return counts == null ? List.of() : List.copyOf(counts.keySet());
     }
 
-    /** The highest version of the splits of a slot's accounts; 0 when it never had any. */
+    /** Returns the highest version of the splits of a slot's accounts; 0 when it never had any. */
     long slotVersion(int slot) {
         return slotVersions[slot];
     }
 
-    /** Takes a configuration and returns the accounts whose data centres differ from before. */
+    /** Applies a configuration and returns the accounts whose data centres changed. */
     Set<ClientAccountId> apply(Configuration next) {
         List<TeamConfiguration> removed = new ArrayList<>();
         List<TeamConfiguration> added = new ArrayList<>();
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Collects the accounts of a team and those that use its databases. */
+    /** Collects the accounts of a team and the accounts that use its databases. */
     private void collectAffected(TeamConfiguration team, Set<ClientAccountId> affected) {
         team.accounts().forEach(a -> affected.add(a.id()));
         team.databases().forEach(d -> affected.addAll(accountsByDatabase.getOrDefault(d.id(), Set.of())));
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/TokenBucket.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/TokenBucket.java
@@ -1,11 +1,14 @@
 package org.hyssopswitch.core.limit;
 
-/** A token bucket that starts empty. Times are milliseconds of one monotonic clock. */
+/** A token bucket that starts empty. All times are milliseconds of one monotonic clock. */
 public final class TokenBucket {
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Sums of fractions fall short of a whole token by rounding; the shortfall is paid back by the next refill. */
+    /**
+     * Rounding errors can leave a sum of fractions just short of a whole token; the next refill makes up the
+     * difference.
+     */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private double ratePerSecond;
@@ -17,8 +20,8 @@
     /**
      * Creates an empty bucket.
      *
-     * @param ratePerSecond tokens a second, 0 or more
-     * @param burst tokens that it holds at most
+     * @param ratePerSecond tokens per second, 0 or more
+     * @param burst maximum number of tokens
      * @param nowMillis milliseconds of the monotonic clock
      */
     public TokenBucket(double ratePerSecond, double burst, long nowMillis) {
@@ -31,13 +34,13 @@
         return ratePerSecond;
     }
 
-    /** Tokens that it holds at most. */
+    /** Returns the maximum number of tokens. */
     public double burst() {
         return burst;
     }
 
     /**
-     * Tokens available now.
+     * Returns the number of tokens available now.
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
@@ -47,9 +50,10 @@
     }
 
     /**
-     * Takes one token if there is a whole one.
+     * Takes one token if a whole one is available.
      *
      * @param nowMillis milliseconds of the monotonic clock
+     * @return whether a token was taken
      */
     public boolean tryTake(long nowMillis) {
         refill(nowMillis);
@@ -61,7 +65,7 @@
     }
 
     /**
-     * Adds tokens that another bucket gave up; those above the burst are lost.
+     * Adds tokens withdrawn from another bucket; those above the burst are lost.
      *
      * @param amount number of tokens
      * @param nowMillis milliseconds of the monotonic clock
@@ -71,10 +75,10 @@
     }
 
     /**
-     * Adds tokens that another bucket gave up, beyond the burst if need be; those above a limit are lost.
+     * Adds tokens withdrawn from another bucket, if necessary beyond the burst; those above the limit are lost.
      *
      * @param amount number of tokens
-     * @param limit tokens that the bucket may hold after it
+     * @param limit maximum number of tokens in the bucket after the deposit
      * @param nowMillis milliseconds of the monotonic clock
      */
     public void deposit(double amount, double limit, long nowMillis) {
@@ -83,10 +87,11 @@
     }
 
     /**
-     * Takes up to a number of tokens to hand them to another bucket.
+     * Takes up to the wanted number of tokens, to deposit them in another bucket.
      *
      * @param wanted number of tokens
      * @param nowMillis milliseconds of the monotonic clock
+     * @return the number of tokens taken
      */
     public double withdraw(double wanted, long nowMillis) {
         refill(nowMillis);
@@ -95,7 +100,7 @@
         return taken;
     }
 
-    /** Keeps room free for tokens that are on their way, which must not be filled meanwhile; returns the room. */
+    /** Reserves room for tokens in flight, which refills leave free, and returns the room reserved. */
     double reserve(double room, long nowMillis) {
         refill(nowMillis);
         reservedTokens = Math.max(0, Math.min(room, burst - tokens));
@@ -108,7 +113,7 @@
         reservedTokens = 0;
     }
 
-    /** Gives up the burst that a bucket without a rate has used. */
+    /** Lowers the burst of a bucket without a rate to the tokens left in it. */
     void releaseUsedBurst(long nowMillis) {
         if (ratePerSecond <= 0) {
             resize(0, Math.max(0, tokens), nowMillis);
@@ -116,10 +121,10 @@
     }
 
     /**
-     * Changes rate and burst; tokens above the new burst are lost and none are gained.
+     * Changes rate and burst. Tokens above the new burst are lost; a larger burst adds none.
      *
-     * @param newRatePerSecond tokens a second, 0 or more
-     * @param newBurst tokens that it holds at most
+     * @param newRatePerSecond tokens per second, 0 or more
+     * @param newBurst maximum number of tokens
      * @param nowMillis milliseconds of the monotonic clock
      */
     public void resize(double newRatePerSecond, double newBurst, long nowMillis) {
@@ -130,10 +135,10 @@
     }
 
     /**
-     * Milliseconds until a whole token will be available.
+     * Returns the milliseconds until a whole token is available.
      *
      * @param nowMillis milliseconds of the monotonic clock
-     * @param maxMillis the longest wait to return
+     * @param maxMillis maximum value to return, also returned when the bucket can never hold a whole token
      */
     public long millisUntilToken(long nowMillis, long maxMillis) {
         refill(nowMillis);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
@@ -10,7 +10,10 @@
 import org.hyssopswitch.core.engine.PlatformFailure;
 import org.hyssopswitch.core.engine.StoredObject;
 
-/** Objects with conditional updates; can be down, and can lose the answer to an update that took effect. */
+/**
+ * The platform's objects with conditional updates. It can be made unavailable, and can lose the answer to an update
+ * that took effect.
+ */
 final class FakeObjectStore {
 
     private final Map<String, StoredObject> objects = new HashMap<>();
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
@@ -3,7 +3,10 @@
 import java.util.SplittableRandom;
 import org.hyssopswitch.core.identity.DataCentreId;
 
-/** Draws faults from a seed: pauses, restarts, cuts, bad links, an unreachable platform and moved databases. */
+/**
+ * Injects random faults from a seed: pauses and restarts of VMs, partitions, unreliable links, an unavailable platform,
+ * and databases that move to other data centres.
+ */
 final class FaultSchedule {
 
     private static final int MEAN_INTERVAL_MILLIS = 700;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
@@ -7,13 +7,13 @@
 import org.hyssopswitch.core.configuration.Rate;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** Checks that over every window the admissions of all VMs together are within rate and burst. */
+/** Checks that in every window of time the admissions of all VMs together are within rate and burst. */
 final class LimitAudit {
 
-    /** Clocks of VMs may run faster than true time by this part. */
+    /** Fraction by which the clocks of VMs may run faster than true time. */
     private static final double MAX_CLOCK_DRIFT = 0.004;
 
-    /** Times are rounded to milliseconds at both ends of a window. */
+    /** Allowance for the rounding of times to milliseconds at both ends of a window. */
     private static final double ROUNDING_ALLOWANCE_MILLIS = 3;
 
     private LimitAudit() {}
@@ -29,7 +29,10 @@
         return breaches;
     }
 
-    /** Compares what all VMs hold now with the rate and burst; one entry for each client account that holds more. */
+    /**
+     * Compares what all VMs hold now with the rate and burst. Returns one entry for each client account whose holders
+     * exceed them.
+     */
     static List<String> excessHoldings(LimitFleet fleet, Map<ClientAccountId, Rate> rates) {
         List<String> breaches = new ArrayList<>();
         rates.forEach((account, rate) -> {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFaultTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFaultTests.java
@@ -26,6 +26,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/**
+ * Runs a fleet of VMs under virtual time with random faults. Guards against more admissions than rate and burst over
+ * all VMs together, and against refusals of statements that are within them while sessions roam.
+ */
 class LimitFaultTests {
 
     private static final LimitSettings SHORT_LEASES = new LimitSettings(8, 2_000, 6_000, 100, 20, 3_000, 250, 16);
@@ -141,7 +145,10 @@
         return fleet;
     }
 
-    /** Accounts whose databases have endpoints in the first data centres. */
+    /**
+     * Returns a configuration in which the databases of all accounts have endpoints in the first {@code dataCentres}
+     * data centres.
+     */
     static Configuration configuration(long version, int dataCentres) {
         List<EndpointDeclaration> endpoints = new ArrayList<>();
         for (int i = 0; i < (dataCentres % 2 == 0 ? dataCentres + 1 : dataCentres); i++) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFleet.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitFleet.java
@@ -17,7 +17,10 @@
 import org.hyssopswitch.core.identity.VmId;
 import org.hyssopswitch.core.message.PeerMessage;
 
-/** Steps the limit systems of a few VMs under virtual time, over links that can delay, drop, duplicate and be cut. */
+/**
+ * Steps the limit systems of several VMs under virtual time, over links that can delay, drop, duplicate and be
+ * partitioned.
+ */
 final class LimitFleet {
 
     static final long TICK_MILLIS = 10;
@@ -65,12 +68,12 @@
         return now;
     }
 
-    /** Changes with the members that are candidates. */
+    /** Returns a number that changes whenever the candidates change. */
     long viewVersion() {
         return ended.size() + 1_000L * leaving.size();
     }
 
-    /** Messages that VMs sent to other VMs. */
+    /** Returns the number of messages sent between VMs. */
     long messages() {
         return messages;
     }
@@ -104,7 +107,7 @@
         maxExtraDelayMillis = maxDelayMillis;
     }
 
-    /** Advances virtual time by a millisecond. */
+    /** Advances virtual time by one millisecond. */
     void step() {
         now++;
         while (!deliveries.isEmpty() && deliveries.peek().atMillis() <= now) {
@@ -122,7 +125,7 @@
         return action -> perform(from, action);
     }
 
-    /** Takes a VM from the candidates for new work. */
+    /** Removes a VM from the candidates for new work. */
     void markLeaving(LimitVm vm) {
         leaving.add(vm.self());
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitLoad.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitLoad.java
@@ -10,7 +10,10 @@
 import org.hyssopswitch.core.configuration.Rate;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** Statements of roaming sessions, offered to a fleet and to the fixed even split, and judged by an ideal bucket. */
+/**
+ * Offers the statements of roaming sessions to a fleet and to a fixed even split, and compares the refusals of both
+ * with an ideal bucket shared by all VMs.
+ */
 final class LimitLoad {
 
     private final LimitFleet fleet;
@@ -33,7 +36,7 @@
         rates.forEach((account, rate) -> sources.add(new Source(account, rate, shape.fraction())));
     }
 
-    /** Offers the statements that arrive in the current millisecond and those whose wait is over. */
+    /** Offers the statements that arrive in the current millisecond, and again those whose wait is over. */
     void step() {
         while (!waiting.isEmpty() && waiting.peek().untilMillis() <= fleet.now()) {
             Waiting next = waiting.poll();
@@ -46,7 +49,7 @@
         return admissions;
     }
 
-    /** Starts the counts anew. */
+    /** Resets the counts. */
     void reset() {
         withinRate = 0;
         refused = 0;
@@ -55,7 +58,7 @@
         sources.forEach(Source::reset);
     }
 
-    /** Refused statements that the ideal bucket admitted, per statement that it admitted. */
+    /** Returns the fraction of the statements admitted by the ideal bucket that the fleet refused. */
     double wrongfulRefusals() {
         return (double) refused / Math.max(1, withinRate);
     }
@@ -64,7 +67,7 @@
         return (double) refusedByEvenSplit / Math.max(1, withinRate);
     }
 
-    /** Wrongful refusals of each client account. */
+    /** Returns the fraction of wrongful refusals of each client account. */
     Map<ClientAccountId, Double> wrongfulByAccount() {
         Map<ClientAccountId, Double> result = new TreeMap<>();
         sources.forEach(s -> result.put(s.account, (double) s.refused / Math.max(1, s.withinRate)));
@@ -144,9 +147,9 @@
     /**
      * The shape of a load.
      *
-     * @param fraction offered statements as a part of the declared rate
+     * @param fraction offered rate as a fraction of the declared rate
      * @param sessions sessions of each client account
-     * @param roamsPerSecond moves of a session of each client account to another VM
+     * @param roamsPerSecond moves per second of a client account's sessions to another VM, all sessions together
      */
     record Shape(double fraction, int sessions, double roamsPerSecond) {}
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitMutation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitMutation.java
@@ -2,19 +2,19 @@
 
 import org.hyssopswitch.core.message.PeerMessage;
 
-/** A mechanism broken on purpose, to prove that the audit notices. */
+/** Defects injected on purpose, to prove that the audit detects them. */
 enum LimitMutation {
     NONE,
-    /** A share counts as returned as soon as its holder is asked, not when the holder has confirmed. */
+    /** The lender treats a share as returned as soon as it asks for it, before the holder has confirmed. */
     RETURN_UNCONFIRMED,
-    /** Every grant fills the holder's bucket. */
+    /** Every grant fills the holder's bucket up to its burst. */
     FULL_BUCKET,
-    /** An owner that is merely paused counts as ended. */
+    /** A paused owner is treated as ended. */
     TAKEOVER_UNCONFIRMED,
-    /** The clocks of holders run at a third of the speed that lenders allow for. */
+    /** Clocks in one data centre run at a third of the speed that lenders allow for. */
     SLOW_CLOCKS;
 
-    /** Falsifies a message on its way. */
+    /** Alters a message in transit according to this defect. */
     PeerMessage apply(PeerMessage message) {
         if (this == RETURN_UNCONFIRMED && message instanceof ShareRequest r) {
             return new ShareRequest(
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitVm.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitVm.java
@@ -8,7 +8,7 @@
 import org.hyssopswitch.core.identity.VmId;
 import org.hyssopswitch.core.membership.MembershipView;
 
-/** One VM of a {@link LimitFleet}: its limit system, its own clock and whether it runs. */
+/** One VM of a {@link LimitFleet}: its limit system, its own clock, and whether it is running. */
 final class LimitVm implements MembershipView {
 
     private final LimitFleet fleet;
