--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
@@ -17,10 +17,11 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Keeps each client account within its rate and burst over all VMs together, by shares that are lent and confirmed.
+ * Keeps each client account within its rate and burst over all VMs together, by means of leased shares whose return is
+ * confirmed.
  *
- * <p>A VM plays two parts: it holds shares for its own callers, and it lends the rates of the client accounts whose
- * slots it owns in its data centre.
+ * <p>A VM has two roles: it holds shares for its own callers, and it lends the rates of the client accounts whose slots
+ * it owns in its data centre.
  */
 public final class LimitSystem implements DecisionSystem, RateLimiter {
 
@@ -33,11 +34,11 @@
     private final SplitTable splits;
 
     /**
-     * Creates a system that admits nothing until it is configured and has been lent shares.
+     * Creates a system that admits nothing until it is configured and has been granted shares.
      *
-     * @param view the VMs that this VM knows
-     * @param settings times and sizes
-     * @param callNumbers numbers for calls to the platform, unique on this VM
+     * @param view the VMs known to this VM
+     * @param settings settings of the distribution of shares
+     * @param callNumbers supplies numbers for calls to the platform, unique on this VM
      * @param random source of the jitter of retries
      */
     public LimitSystem(MembershipView view, LimitSettings settings, LongSupplier callNumbers, RandomGenerator random) {
@@ -62,10 +63,10 @@
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        Outbox loop = loopBack(nowMillis, out);
+        Outbox loopback = loopBack(nowMillis, out);
         ownership.tick(lender, nowMillis, out);
-        lender.tick(nowMillis, loop);
-        holder.tick(nowMillis, loop);
+        lender.tick(nowMillis, loopback);
+        holder.tick(nowMillis, loopback);
     }
 
     @Override
@@ -79,17 +80,17 @@
 
     @Override
     public void configure(Configuration configuration, long nowMillis, Outbox out) {
-        long former = splits.version();
-        Set<ClientAccountId> moved = splits.apply(configuration);
+        long previousVersion = splits.version();
+        Set<ClientAccountId> movedAccounts = splits.apply(configuration);
         Set<Integer> movedSlots = new HashSet<>();
-        moved.forEach(a -> movedSlots.add(SlotUtils.slotOf(a, settings.slots())));
+        movedAccounts.forEach(a -> movedSlots.add(SlotUtils.slotOf(a, settings.slots())));
         locator.clearCandidates();
-        ownership.configure(former, movedSlots);
-        lender.configure(moved, nowMillis);
+        ownership.configure(previousVersion, movedSlots);
+        lender.configure(movedAccounts, nowMillis);
     }
 
     /**
-     * Gives up all slots, and returns the shares that callers of this VM no longer use. To be called again until
+     * Releases all slots and returns the shares that callers of this VM no longer use. Must be called repeatedly until
      * {@link #isReleased}.
      *
      * @param nowMillis milliseconds of the monotonic clock
@@ -100,32 +101,32 @@
         ownership.releaseAll();
     }
 
-    /** Whether no share is held and the platform's records no longer name this VM as the owner of a slot. */
+    /** Whether no share is held and no record of the platform names this VM as the owner of a slot. */
     public boolean isReleased() {
         return ownership.isReleased() && holder.accountCount() == 0;
     }
 
-    /** The slots that this VM owns. */
+    /** Returns the number of slots that this VM owns. */
     public long ownedSlots() {
         return ownership.ownedSlots();
     }
 
-    /** What this VM holds of a client account's rate and burst. */
+    /** Returns the share of a client account's rate and burst that this VM holds. */
     RateShare heldShare(ClientAccountId account, long nowMillis) {
         return holder.heldShare(account, nowMillis);
     }
 
-    /** The client accounts that this VM lends from. */
+    /** Returns the number of client accounts that this VM lends from. */
     public int lentAccounts() {
         return lender.accountCount();
     }
 
-    /** The client accounts that callers of this VM use. */
+    /** Returns the number of client accounts that callers of this VM use. */
     public int heldAccounts() {
         return holder.accountCount();
     }
 
-    /** Delivers messages of this VM to itself at once, since it may hold what it lends. */
+    /** Delivers messages addressed to this VM itself at once, since a VM may hold shares that it lends. */
     private Outbox loopBack(long nowMillis, Outbox out) {
         return action -> {
             if (action instanceof Action.SendMessage send && send.to().equals(view.self())) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotLocator.java
@@ -12,15 +12,15 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * Finds the VM to turn to for a slot: the owner that was last heard of, or else the VM that ranks highest for the slot
- * and so becomes its owner when there is none.
+ * Finds the VM that requests for a slot are sent to: the last known owner, or else the highest-ranked candidate, which
+ * takes over a slot without an owner.
  */
 final class SlotLocator {
 
     private final MembershipView view;
     private final Map<String, VmAddress> owners = new HashMap<>();
     private final SplitTable splits;
-    private final Map<Integer, Boolean> ownCandidates = new HashMap<>();
+    private final Map<Integer, Boolean> selfIsCandidate = new HashMap<>();
     private long candidatesVersion = -1;
 
     SlotLocator(MembershipView view, SplitTable splits) {
@@ -28,18 +28,18 @@
         this.splits = splits;
     }
 
-    /** Forgets what was derived from an earlier configuration. */
+    /** Clears what was derived from an earlier configuration. */
     void clearCandidates() {
-        ownCandidates.clear();
+        selfIsCandidate.clear();
     }
 
-    /** Whether this VM should own a slot of its data centre when nobody does. */
+    /** Whether this VM should take over a slot of its data centre that has no owner. */
     boolean isOwnCandidate(int slot) {
         if (candidatesVersion != view.version()) {
             candidatesVersion = view.version();
-            ownCandidates.clear();
+            selfIsCandidate.clear();
         }
-        return ownCandidates.computeIfAbsent(slot, s -> {
+        return selfIsCandidate.computeIfAbsent(slot, s -> {
             VmAddress self = view.self();
             List<CellId> cells = splits.cells(self.dataCentre());
             boolean ownCell = cells.isEmpty() || cells.get(s % cells.size()).equals(self.cell());
@@ -50,7 +50,7 @@
         });
     }
 
-    /** The VM that should own a slot when nobody does. */
+    /** Returns the VM that should take over a slot that has no owner. */
     Optional<VmAddress> candidate(DataCentreId dataCentre, int slot) {
         List<CellId> cells = splits.cells(dataCentre);
         VmAddress self = view.self();
@@ -63,7 +63,7 @@
                         .thenComparing(RendezvousUtils.byScore(SlotUtils.path(dataCentre, slot), a -> a.vm().value())));
     }
 
-    /** The VM to send a request to. */
+    /** Returns the VM to send a request to. */
     Optional<VmAddress> find(DataCentreId dataCentre, int slot) {
         VmAddress known = owners.get(SlotUtils.path(dataCentre, slot));
         if (known != null && !view.isConfirmedGone(known.vm(), known.incarnation())) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
@@ -21,16 +21,16 @@
 import org.hyssopswitch.core.retry.Backoff;
 
 /**
- * Takes over the slots of the own data centre that nobody owns and that this VM ranks highest for, by conditional
+ * Takes over the slots of the local data centre that have no owner and for which this VM ranks highest, by conditional
  * updates of their records. An update without an answer is resolved by reading the record again.
  */
 final class SlotOwnership {
 
     private static final long SCAN_INTERVAL_MILLIS = 200;
-    private static final long STABLE_VIEW_MILLIS = 1_000;
-    private static final long REREAD_MILLIS = 5_000;
-    private static final int MAX_CALLS = 64;
-    private static final long BACKOFF_MILLIS = 200;
+    private static final long MIN_STABLE_VIEW_MILLIS = 1_000;
+    private static final long MIN_REREAD_INTERVAL_MILLIS = 5_000;
+    private static final int MAX_PENDING_CALLS = 64;
+    private static final long INITIAL_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 20_000;
 
     private final MembershipView view;
@@ -40,11 +40,11 @@
     private final LongSupplier callNumbers;
     private final Backoff backoff;
     private final List<SlotState> slots = new ArrayList<>();
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
     private long nextScanMillis;
     private long viewVersion = -1;
-    private long viewMillis;
-    private boolean leaving;
+    private long viewChangedMillis;
+    private boolean releasing;
 
     SlotOwnership(
             MembershipView view,
@@ -58,17 +58,17 @@
         this.splits = splits;
         this.locator = locator;
         this.callNumbers = callNumbers;
-        this.backoff = new Backoff(BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, random);
+        this.backoff = new Backoff(INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, random);
         for (int slot = 0; slot < settings.slots(); slot++) {
             slots.add(new SlotState(slot));
         }
     }
 
     boolean owns(int slot) {
-        return slots.get(slot).isOwned() && !leaving;
+        return slots.get(slot).isOwned() && !releasing;
     }
 
-    /** The slots that this VM owns. */
+    /** Returns the number of slots that this VM owns. */
     long ownedSlots() {
         return slots.stream().filter(SlotState::isOwned).count();
     }
@@ -85,12 +85,15 @@
         return slots.get(slot).grownVersion();
     }
 
-    /** Time since which the grown version's splits may be lent in full and no share of a former owner is in use. */
+    /**
+     * Returns the time since which the splits of the grown version may be lent in full and no share of a former owner
+     * is in use.
+     */
     long grownSinceMillis(int slot) {
         return slots.get(slot).grownSinceMillis();
     }
 
-    /** Configuration version below which this VM must not lend from a slot. */
+    /** Returns the lowest configuration version that this VM must have before it may lend from a slot. */
     long requiredVersion(int slot) {
         return slots.get(slot)
                 .record()
@@ -105,10 +108,13 @@
                 .filter(o -> !view.isConfirmedGone(o.vm(), o.incarnation()));
     }
 
-    /** Notes that a holder takes this VM for the owner, so that an old record is read again. */
+    /**
+     * Records that a holder takes this VM for the owner of a slot that it does not own; a record that is not recent is
+     * read again.
+     */
     void recordMisdirectedRequest(int slot, long nowMillis) {
         SlotState state = slots.get(slot);
-        if (nowMillis - state.readMillis() >= REREAD_MILLIS && !state.hasPendingCalls()) {
+        if (nowMillis - state.readMillis() >= MIN_REREAD_INTERVAL_MILLIS && !state.hasPendingCalls()) {
             state.requireRead();
         }
     }
@@ -117,20 +123,25 @@
         slots.get(slot).requestSettlement(version);
     }
 
-    /** Follows a change of the splits from a former configuration version. */
-    void configure(long former, Set<Integer> moved) {
+    /**
+     * Handles a change of the configuration after a previous version.
+     *
+     * @param previousVersion the configuration version before the change
+     * @param movedSlots the slots with accounts whose data centres changed
+     */
+    void configure(long previousVersion, Set<Integer> movedSlots) {
         for (SlotState state : slots) {
-            if (moved.contains(state.slot())) {
+            if (movedSlots.contains(state.slot())) {
                 state.requestSettlement(splits.version());
             } else {
-                state.carryGrownVersion(former, splits.version());
+                state.carryGrownVersion(previousVersion, splits.version());
             }
         }
     }
 
-    /** Begins to give up all slots; their records are written without an owner. */
+    /** Starts to release all slots; their records are written without an owner. */
     void releaseAll() {
-        leaving = true;
+        releasing = true;
     }
 
     /** Whether no slot is owned. */
@@ -145,17 +156,17 @@
         nextScanMillis = nowMillis + SCAN_INTERVAL_MILLIS;
         if (viewVersion != view.version()) {
             viewVersion = view.version();
-            viewMillis = nowMillis;
+            viewChangedMillis = nowMillis;
         }
         for (SlotState state : slots) {
-            if (calls.size() < MAX_CALLS && state.isDue(nowMillis)) {
+            if (pendingCalls.size() < MAX_PENDING_CALLS && state.isDue(nowMillis)) {
                 advance(state, lender, nowMillis, out);
             }
         }
     }
 
     void handle(Event.ObjectAnswered event, long nowMillis) {
-        Call call = calls.remove(event.call());
+        PendingCall call = pendingCalls.remove(event.call());
         if (call == null) {
             return;
         }
@@ -172,13 +183,13 @@
 
     private void advance(SlotState state, ShareLender lender, long nowMillis, Outbox out) {
         if (state.needsRead()) {
-            if (state.isOwned() || (!leaving && isCandidate(state.slot(), nowMillis))) {
+            if (state.isOwned() || (!releasing && isCandidate(state.slot(), nowMillis))) {
                 read(state, view.self().dataCentre(), out);
             }
             return;
         }
         SlotRecord record = state.record().get();
-        if (leaving) {
+        if (releasing) {
             if (state.isOwned()) {
                 update(state, record.withOwner(Optional.empty()), nowMillis, out);
             }
@@ -192,12 +203,15 @@
     }
 
     private SlotRecord claimed(SlotRecord record) {
-        // A slot that was never owned has no shares out, so it is settled for any version.
+        // A slot that was never owned has no outstanding shares, so it is settled for any version.
         SlotRecord next = record.withOwner(Optional.of(view.self()));
         return record.epoch() == 0 ? next.withSettledVersion(splits.version(), splits.dataCentres()) : next;
     }
 
-    /** Records that the slot has shrunk, and then, when all other data centres have too, that it may grow. */
+    /**
+     * Records first that the slot is settled for a version and then, once all other data centres are settled too, that
+     * it may grow.
+     */
     private void advanceVersions(SlotState state, SlotRecord record, ShareLender lender, long nowMillis, Outbox out) {
         long wanted = splits.slotVersion(state.slot());
         if (wanted > state.grownVersion()) {
@@ -213,7 +227,10 @@
         }
     }
 
-    /** The records of other data centres are read after the own one says settled, so that two cannot both grow. */
+    /**
+     * Reads the records of the other data centres only after this data centre's own record is settled; this order keeps
+     * two data centres from growing at the same time.
+     */
     private void advanceGrowth(SlotState state, SlotRecord record, long nowMillis, Outbox out) {
         boolean complete = true;
         Set<DataCentreId> dataCentres = new TreeSet<>(splits.dataCentres());
@@ -245,14 +262,20 @@
                         new Action.SendMessage(o, new SettleRequest(dataCentre, state.slot(), state.wantedVersion()))));
     }
 
-    /** A record settled for a version that this VM does not know yet may have given room to somebody else. */
+    /**
+     * Whether the record of another data centre permits this slot to grow. A record settled for a version that this VM
+     * does not know yet does not: that version may have moved the room to yet another data centre.
+     */
     private boolean permitsGrowth(SlotRecord other, long version) {
         return other.epoch() == 0 || (other.settledVersion() >= version && other.settledVersion() <= splits.version());
     }
 
-    /** A VM that has just started takes itself for the only candidate, so the view must have been stable for a while. */
+    /**
+     * Whether this VM should take over a slot. Requires a view that has been stable for a while, because a VM that has
+     * just started sees itself as the only candidate.
+     */
     private boolean isCandidate(int slot, long nowMillis) {
-        boolean stable = nowMillis - viewMillis >= STABLE_VIEW_MILLIS;
+        boolean stable = nowMillis - viewChangedMillis >= MIN_STABLE_VIEW_MILLIS;
         return stable && locator.isOwnCandidate(slot);
     }
 
@@ -282,12 +305,12 @@
 
     private long registerCall(SlotState state, DataCentreId dataCentre, boolean update) {
         long call = callNumbers.getAsLong();
-        calls.put(call, new Call(state, dataCentre, update));
+        pendingCalls.put(call, new PendingCall(state, dataCentre, update));
         state.callStarted();
         return call;
     }
 
-    private void handleOwn(Call call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
+    private void handleOwn(PendingCall call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
         SlotState state = call.state();
         if (result.isLeft()) {
             if (call.update()) {
@@ -301,12 +324,12 @@
         Either<?, SlotRecord> record = call.update() && state.proposed().isPresent()
                 ? Either.right(state.proposed().get())
                 : SlotRecord.decode(result.get().path(), result.get().value());
-        record.peek(r -> state.applyRecord(r, version, view.self(), nowMillis + longestLeaseMillis(), nowMillis))
+        record.peek(r -> state.applyRecord(r, version, view.self(), nowMillis + maxLenderLeaseMillis(), nowMillis))
                 .peekLeft(f -> state.delayUntil(nowMillis + MAX_BACKOFF_MILLIS));
     }
 
-    private long longestLeaseMillis() {
-        return settings.lenderMillis(settings.maxLeaseMillis());
+    private long maxLenderLeaseMillis() {
+        return settings.lenderLeaseMillis(settings.maxLeaseMillis());
     }
 
     private void retryLater(SlotState state, PlatformFailure failure, long nowMillis) {
@@ -317,5 +340,5 @@
         state.delayUntil(nowMillis + delay);
     }
 
-    private record Call(SlotState state, DataCentreId dataCentre, boolean update) {}
+    private record PendingCall(SlotState state, DataCentreId dataCentre, boolean update) {}
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FaultSchedule.java
@@ -3,11 +3,14 @@
 import java.util.SplittableRandom;
 import org.hyssopswitch.core.identity.DataCentreId;
 
-/** Draws faults from a seed: pauses, restarts, cuts, bad links, an unreachable platform and moved databases. */
+/**
+ * Injects random faults from a seed: pauses and restarts of VMs, partitions, unreliable links, an unavailable platform,
+ * and databases that move to other data centres.
+ */
 final class FaultSchedule {
 
     private static final int MEAN_INTERVAL_MILLIS = 700;
-    private static final int QUIET_MILLIS = 4_000;
+    private static final int FAULT_FREE_START_MILLIS = 4_000;
 
     private final LimitFleet fleet;
     private final SplittableRandom random;
@@ -19,7 +22,7 @@
     }
 
     void step() {
-        if (fleet.now() < QUIET_MILLIS || random.nextInt(MEAN_INTERVAL_MILLIS) != 0) {
+        if (fleet.now() < FAULT_FREE_START_MILLIS || random.nextInt(MEAN_INTERVAL_MILLIS) != 0) {
             return;
         }
         int vm = random.nextInt(fleet.vms().size());
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/LimitAudit.java
@@ -7,14 +7,14 @@
 import org.hyssopswitch.core.configuration.Rate;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** Checks that over every window the admissions of all VMs together are within rate and burst. */
+/** Checks that in every window of time the admissions of all VMs together are within rate and burst. */
 final class LimitAudit {
 
-    /** Clocks of VMs may run faster than true time by this part. */
-    private static final double DRIFT = 0.004;
+    /** Fraction by which the clocks of VMs may run faster than true time. */
+    private static final double MAX_CLOCK_DRIFT = 0.004;
 
-    /** Times are rounded to milliseconds at both ends of a window. */
-    private static final double ROUNDING_MILLIS = 3;
+    /** Allowance for the rounding of times to milliseconds at both ends of a window. */
+    private static final double ROUNDING_ALLOWANCE_MILLIS = 3;
 
     private LimitAudit() {}
 
@@ -29,7 +29,10 @@
         return breaches;
     }
 
-    /** Compares what all VMs hold now with the rate and burst; one entry for each client account that holds more. */
+    /**
+     * Compares what all VMs hold now with the rate and burst. Returns one entry for each client account whose holders
+     * exceed them.
+     */
     static List<String> excessHoldings(LimitFleet fleet, Map<ClientAccountId, Rate> rates) {
         List<String> breaches = new ArrayList<>();
         rates.forEach((account, rate) -> {
@@ -47,13 +50,13 @@
     private static double excess(List<Long> times, Rate rate) {
         List<Long> sorted = new ArrayList<>(times);
         Collections.sort(sorted);
-        double perMilli = rate.perSecond() * (1 + DRIFT) / 1_000;
+        double perMilli = rate.perSecond() * (1 + MAX_CLOCK_DRIFT) / 1_000;
         double lowest = Double.MAX_VALUE;
         double worst = 0;
         for (int i = 0; i < sorted.size(); i++) {
             double level = i - perMilli * sorted.get(i);
             lowest = Math.min(lowest, level);
-            worst = Math.max(worst, level + 1 - lowest - rate.burst() - perMilli * ROUNDING_MILLIS);
+            worst = Math.max(worst, level + 1 - lowest - rate.burst() - perMilli * ROUNDING_ALLOWANCE_MILLIS);
         }
         return worst;
     }
