--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/EndpointDirectory.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/EndpointDirectory.java
@@ -15,12 +15,12 @@
 public final class EndpointDirectory {
 
     /** Time in which living endpoints renew their entries after the store's return, milliseconds, with a margin. */
-    private static final long RENEWAL_MILLIS = 2_500;
+    private static final long RENEWAL_GRACE_MILLIS = 2_500;
 
     private final LongSupplier clock;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Map<String, Long> removeAtMillis = new HashMap<>();
-    private long holdUntilMillis;
+    private long deferRemovalsUntilMillis;
 
     /**
      * Creates an empty directory.
@@ -29,12 +29,12 @@
      */
     public EndpointDirectory(LongSupplier clock) {
         this.clock = clock;
-        this.holdUntilMillis = clock.getAsLong();
+        this.deferRemovalsUntilMillis = clock.getAsLong();
     }
 
     /** The store has answered after an outage. */
     public void storeRecovered() {
-        holdUntilMillis = clock.getAsLong() + RENEWAL_MILLIS;
+        deferRemovalsUntilMillis = clock.getAsLong() + RENEWAL_GRACE_MILLIS;
     }
 
     /**
@@ -65,8 +65,8 @@
      * @param id identifier of the endpoint
      */
     public void remove(String id) {
-        if (clock.getAsLong() < holdUntilMillis) {
-            removeAtMillis.putIfAbsent(id, holdUntilMillis);
+        if (clock.getAsLong() < deferRemovalsUntilMillis) {
+            removeAtMillis.putIfAbsent(id, deferRemovalsUntilMillis);
         } else {
             endpoints.remove(id);
             removeAtMillis.remove(id);
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionBudget.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionBudget.java
@@ -4,28 +4,28 @@
 final class ConnectionBudget {
 
     /** Pause in opening after the endpoint refused a connection, milliseconds: a few statements' time. */
-    private static final long FULL_PAUSE_MILLIS = 40;
+    private static final long FULL_RETRY_DELAY_MILLIS = 40;
 
     /** Pause in opening after a connection could not be opened, milliseconds. */
-    private static final long FAILED_PAUSE_MILLIS = 200;
+    private static final long FAILED_RETRY_DELAY_MILLIS = 200;
 
     /** Time after which an endpoint whose address belongs to another process is tried again, milliseconds. */
-    private static final long FOREIGN_PAUSE_MILLIS = 2_000;
+    private static final long FOREIGN_PROCESS_RETRY_DELAY_MILLIS = 2_000;
 
     /** Time for which no more connections than at the refusal are held, milliseconds. */
-    private static final long CAPPED_MILLIS = 1_000;
+    private static final long CAP_MILLIS = 1_000;
 
     /** Time for which connections beyond the guaranteed share are given up at once for other VMs, milliseconds. */
-    private static final long YIELD_MILLIS = 1_000;
+    private static final long SURPLUS_RELEASE_MILLIS = 1_000;
 
     /** Time after the last lease for which a VM keeps connections to lend, milliseconds. */
-    private static final long LENDING_MILLIS = 5_000;
+    private static final long LENDING_RETENTION_MILLIS = 5_000;
 
     private PoolLimits limits;
     private long openAfterMillis;
     private long cappedUntilMillis;
     private int cap;
-    private long yieldUntilMillis;
+    private long guaranteedOnlyUntilMillis;
     private long lendingUntilMillis;
     private boolean stopping;
 
@@ -56,9 +56,9 @@
             return 0;
         }
         if (limits.scarce() && (lender || nowMillis < lendingUntilMillis)) {
-            return limits.lent();
+            return limits.lenderTarget();
         }
-        return nowMillis < yieldUntilMillis ? limits.guaranteed() : limits.kept();
+        return nowMillis < guaranteedOnlyUntilMillis ? limits.guaranteed() : limits.target();
     }
 
     /** Connections that this VM holds at most. */
@@ -67,7 +67,7 @@
     }
 
     void recordLending(long nowMillis) {
-        lendingUntilMillis = nowMillis + LENDING_MILLIS;
+        lendingUntilMillis = nowMillis + LENDING_RETENTION_MILLIS;
     }
 
     /** Keeps no connections from now on: the VM stops, and others need them. */
@@ -76,23 +76,23 @@
     }
 
     void limitToGuaranteed(long nowMillis) {
-        yieldUntilMillis = nowMillis + YIELD_MILLIS;
+        guaranteedOnlyUntilMillis = nowMillis + SURPLUS_RELEASE_MILLIS;
     }
 
     /** The endpoint refused a connection because it has enough. */
-    void recordFull(int held, long nowMillis) {
-        openAfterMillis = nowMillis + FULL_PAUSE_MILLIS;
-        cappedUntilMillis = nowMillis + CAPPED_MILLIS;
-        cap = Math.max(1, held);
+    void recordFull(int openConnections, long nowMillis) {
+        openAfterMillis = nowMillis + FULL_RETRY_DELAY_MILLIS;
+        cappedUntilMillis = nowMillis + CAP_MILLIS;
+        cap = Math.max(1, openConnections);
     }
 
     /** Another process listens at the endpoint's address. */
     void recordForeignProcess(long nowMillis) {
-        openAfterMillis = nowMillis + FOREIGN_PAUSE_MILLIS;
+        openAfterMillis = nowMillis + FOREIGN_PROCESS_RETRY_DELAY_MILLIS;
     }
 
     void recordOpenFailure(long nowMillis) {
-        openAfterMillis = nowMillis + FAILED_PAUSE_MILLIS;
+        openAfterMillis = nowMillis + FAILED_RETRY_DELAY_MILLIS;
     }
 
     /** The endpoint's process is another one now. */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
@@ -9,25 +9,25 @@
 final class ConnectionRequestQueue {
 
     private final List<ConnectionRequest> waiting = new ArrayList<>();
-    private final Map<ConnectionRequest, Long> sinceMillis = new HashMap<>();
+    private final Map<ConnectionRequest, Long> enqueuedMillis = new HashMap<>();
 
-    void add(ConnectionRequest work, long nowMillis) {
-        int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).priority() > work.priority()) {
-            at--;
+    void add(ConnectionRequest request, long nowMillis) {
+        int index = waiting.size();
+        while (index > 0 && waiting.get(index - 1).priority() > request.priority()) {
+            index--;
         }
-        waiting.add(at, work);
-        sinceMillis.put(work, nowMillis);
+        waiting.add(index, request);
+        enqueuedMillis.put(request, nowMillis);
     }
 
     /** Removes work and returns how long it has waited, milliseconds. */
-    long remove(ConnectionRequest work, long nowMillis) {
-        waiting.remove(work);
-        return nowMillis - sinceMillis.remove(work);
+    long remove(ConnectionRequest request, long nowMillis) {
+        waiting.remove(request);
+        return nowMillis - enqueuedMillis.remove(request);
     }
 
-    boolean contains(ConnectionRequest work) {
-        return sinceMillis.containsKey(work);
+    boolean contains(ConnectionRequest request) {
+        return enqueuedMillis.containsKey(request);
     }
 
     /** All work, in the order in which it is served. */
@@ -43,16 +43,16 @@
     List<ConnectionRequest> drain() {
         List<ConnectionRequest> result = all();
         waiting.clear();
-        sinceMillis.clear();
+        enqueuedMillis.clear();
         return result;
     }
 
     /** Removes and returns the work whose time to be assigned has passed. */
     List<ConnectionRequest> removeExpired(long nowMillis) {
         List<ConnectionRequest> expired = waiting.stream()
-                .filter(work -> nowMillis >= work.assignmentDeadlineMillis())
+                .filter(request -> nowMillis >= request.assignmentDeadlineMillis())
                 .toList();
-        expired.forEach(work -> remove(work, nowMillis));
+        expired.forEach(request -> remove(request, nowMillis));
         return expired;
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
@@ -11,27 +11,27 @@
 /** A command of the VM's own to one endpoint; it goes before all statements. */
 final class ControlCommandRequest implements ConnectionRequest, ReplyHandler {
 
-    private static final int BEFORE_ALL = -1;
+    private static final int HIGHEST_PRIORITY = -1;
 
     private final String endpointId;
     private final EndpointCommand command;
     private final Account account;
-    private final long assignBeforeMillis;
-    private final Consumer<Option<Reply>> done;
+    private final long assignmentDeadlineMillis;
+    private final Consumer<Option<Reply>> callback;
     private Option<PooledConnection> connection = Option.none();
-    private boolean ended;
+    private boolean completed;
 
     ControlCommandRequest(
             String endpointId,
             EndpointCommand command,
             Account account,
-            long assignBeforeMillis,
-            Consumer<Option<Reply>> done) {
+            long assignmentDeadlineMillis,
+            Consumer<Option<Reply>> callback) {
         this.endpointId = endpointId;
         this.command = command;
         this.account = account;
-        this.assignBeforeMillis = assignBeforeMillis;
-        this.done = done;
+        this.assignmentDeadlineMillis = assignmentDeadlineMillis;
+        this.callback = callback;
     }
 
     @Override
@@ -41,7 +41,7 @@
 
     @Override
     public int priority() {
-        return BEFORE_ALL;
+        return HIGHEST_PRIORITY;
     }
 
     @Override
@@ -71,7 +71,7 @@
 
     @Override
     public long assignmentDeadlineMillis() {
-        return assignBeforeMillis;
+        return assignmentDeadlineMillis;
     }
 
     @Override
@@ -92,24 +92,24 @@
 
     @Override
     public void refused(ErrorCode code, String reason) {
-        end(Option.none());
+        complete(Option.none());
     }
 
     @Override
     public void replied(Reply reply) {
         connection.forEach(PooledConnection::release);
-        end(Option.some(reply));
+        complete(Option.some(reply));
     }
 
     @Override
     public void connectionLost() {
-        end(Option.none());
+        complete(Option.none());
     }
 
-    private void end(Option<Reply> reply) {
-        if (!ended) {
-            ended = true;
-            done.accept(reply);
+    private void complete(Option<Reply> reply) {
+        if (!completed) {
+            completed = true;
+            callback.accept(reply);
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroup.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroup.java
@@ -27,7 +27,7 @@
     private static final double REMOTE_PENALTY_MILLIS = 8;
 
     /** Preference of replicas for reads, which keeps the primary free for writes, as milliseconds of waiting. */
-    private static final double PRIMARY_PENALTY_MILLIS = 6;
+    private static final double PRIMARY_READ_PENALTY_MILLIS = 6;
 
     /** Milliseconds by which a floor is taken younger than permitted: forwarding and the endpoint's queue. */
     private static final long STALENESS_MARGIN_MILLIS = 250;
@@ -39,57 +39,57 @@
     private static final long SHARED_SAMPLE_INTERVAL_MILLIS = 900;
 
     /** Time for which reads keep the positions of the primary up to date, milliseconds. */
-    private static final long READ_INTEREST_MILLIS = 3_000;
+    private static final long SAMPLING_AFTER_READ_MILLIS = 3_000;
 
     /** Time between two ticks from which on this VM counts as having been paused, milliseconds. */
-    private static final long PAUSE_MILLIS = 200;
+    private static final long PAUSE_THRESHOLD_MILLIS = 200;
 
     /** Period in which endpoints are asked for the primary while none is usable, milliseconds. */
-    private static final long SEARCH_MILLIS = 150;
+    private static final long PRIMARY_SEARCH_INTERVAL_MILLIS = 150;
 
     /** The same where lenders are asked, milliseconds. */
-    private static final long SHARED_SEARCH_MILLIS = 400;
+    private static final long SHARED_PRIMARY_SEARCH_INTERVAL_MILLIS = 400;
 
     /** Period in which the use of connections is logged, milliseconds. */
-    private static final long REPORT_MILLIS = 10_000;
+    private static final long REPORT_INTERVAL_MILLIS = 10_000;
 
     private static final Logger LOG = LogManager.getLogger(DatabaseGroup.class);
 
     private final String dataCentre;
     private final GroupContext context;
     private final StatusDecoder decoder;
-    private final BiConsumer<String, String> shortage;
+    private final BiConsumer<String, String> shortageListener;
     private final LongSupplier clock;
     private final Map<String, EndpointPool> pools = new HashMap<>();
     private final SuspensionDetector suspensions;
     private final PositionSamples samples = new PositionSamples();
-    private final Map<ConnectionRequest, Long> leaderless = new LinkedHashMap<>();
+    private final Map<ConnectionRequest, Long> waitingForPrimary = new LinkedHashMap<>();
     private GroupDeclaration group;
-    private int vms;
-    private int accounts;
+    private int vmCount;
+    private int accountCount;
     private boolean stopping;
     private Option<String> primaryId = Option.none();
-    private long primaryRevision = -1;
+    private long lastPrimaryRevision = -1;
     private long lastReadMillis = Long.MIN_VALUE / 2;
-    private long reportedMillis;
-    private long tickedMillis;
-    private long usableMillis;
-    private long searchedMillis;
+    private long lastReportMillis;
+    private long lastTickMillis;
+    private long lastUsablePrimaryMillis;
+    private long lastSearchMillis;
     private long lastSampleMillis = Long.MIN_VALUE / 2;
 
     DatabaseGroup(GroupDeclaration group, GroupContext context) {
         this.group = group;
-        this.vms = 1;
+        this.vmCount = 1;
         this.dataCentre = context.dataCentre();
         this.context = context;
         this.decoder = context.decoder();
-        this.shortage = context.shortage();
+        this.shortageListener = context.shortageListener();
         this.clock = context.clock();
-        this.suspensions = new SuspensionDetector(context.clock(), context.timeOfDay());
-        this.reportedMillis = clock.getAsLong();
-        this.tickedMillis = reportedMillis;
-        this.usableMillis = reportedMillis;
-        this.searchedMillis = reportedMillis;
+        this.suspensions = new SuspensionDetector(context.clock(), context.wallClock());
+        this.lastReportMillis = clock.getAsLong();
+        this.lastTickMillis = lastReportMillis;
+        this.lastUsablePrimaryMillis = lastReportMillis;
+        this.lastSearchMillis = lastReportMillis;
     }
 
     /** Name of the group. */
@@ -130,21 +130,21 @@
     /**
      * Has a statement or transaction run, or refuses it.
      *
-     * @param work the work
+     * @param request the work
      */
-    public void submit(ConnectionRequest work) {
-        if (work.pinnedTo().isDefined()) {
-            submitPinned(work);
+    public void submit(ConnectionRequest request) {
+        if (request.pinnedTo().isDefined()) {
+            submitPinned(request);
             return;
         }
-        if (!work.primaryOnly()) {
+        if (!request.primaryOnly()) {
             lastReadMillis = clock.getAsLong();
         }
-        Option<EndpointPool> pool = work.primaryOnly() ? primaryPool() : readPool(work);
+        Option<EndpointPool> pool = request.primaryOnly() ? primaryPool() : selectReadPool(request);
         if (pool.isDefined()) {
-            pool.get().offer(work);
+            pool.get().offer(request);
         } else {
-            waitForPrimary(work);
+            enqueueUntilPrimary(request);
         }
     }
 
@@ -152,13 +152,13 @@
      * Queues work of another VM for a connection that it borrows.
      *
      * @param endpointId the endpoint
-     * @param work the work, pinned to the endpoint
+     * @param request the work, pinned to the endpoint
      * @return why no connection can be lent, or nothing
      */
-    public Option<LeaseEndReason> lend(String endpointId, ConnectionRequest work) {
+    public Option<LeaseEndReason> lend(String endpointId, ConnectionRequest request) {
         Option<LeaseEndReason> refusal = refusal(endpointId);
         if (refusal.isEmpty()) {
-            pools.get(endpointId).lend(work);
+            pools.get(endpointId).lend(request);
         }
         return refusal;
     }
@@ -198,11 +198,11 @@
      * Asks an endpoint for its status.
      *
      * @param endpointId the endpoint
-     * @param limitMillis longest wait for a connection, milliseconds
-     * @param done takes the status, or nothing when the endpoint gave none
+     * @param maxWaitMillis longest wait for a connection, milliseconds
+     * @param callback takes the status, or nothing when the endpoint gave none
      */
-    public void queryStatus(String endpointId, long limitMillis, Consumer<Option<ReplicationStatus>> done) {
-        control(endpointId, new EndpointCommand.QueryStatus(), limitMillis, done);
+    public void queryStatus(String endpointId, long maxWaitMillis, Consumer<Option<ReplicationStatus>> callback) {
+        sendControl(endpointId, new EndpointCommand.QueryStatus(), maxWaitMillis, callback);
     }
 
     /**
@@ -210,11 +210,12 @@
      *
      * @param endpointId the endpoint
      * @param term a term above the primary's
-     * @param limitMillis longest wait for a connection, milliseconds
-     * @param done takes the status afterwards, or nothing when the endpoint gave none
+     * @param maxWaitMillis longest wait for a connection, milliseconds
+     * @param callback takes the status afterwards, or nothing when the endpoint gave none
      */
-    public void stepDown(String endpointId, long term, long limitMillis, Consumer<Option<ReplicationStatus>> done) {
-        control(endpointId, new EndpointCommand.StepDown(term), limitMillis, done);
+    public void stepDown(
+            String endpointId, long term, long maxWaitMillis, Consumer<Option<ReplicationStatus>> callback) {
+        sendControl(endpointId, new EndpointCommand.StepDown(term), maxWaitMillis, callback);
     }
 
     /**
@@ -229,27 +230,27 @@
     /**
      * Opens a connection ahead of work that is about to come, where that work would be placed now.
      *
-     * @param work the work; it is not submitted
+     * @param request the work; it is not submitted
      * @param evict whether an unused connection of another account may be closed for it
      */
-    public void prefetch(ConnectionRequest work, boolean evict) {
-        Option<EndpointPool> pool = work.primaryOnly() ? primaryPool() : readPool(work);
-        pool.forEach(placed -> placed.prefetch(work.account(), evict));
+    public void prefetch(ConnectionRequest request, boolean evict) {
+        Option<EndpointPool> pool = request.primaryOnly() ? primaryPool() : selectReadPool(request);
+        pool.forEach(target -> target.prefetch(request.account(), evict));
     }
 
     @Override
     public void connectionShortage(String endpointId) {
-        shortage.accept(name(), endpointId);
+        shortageListener.accept(name(), endpointId);
     }
 
     @Override
     public void primaryConfirmed(String endpointId, long askedMillis, LogPosition position) {
-        checkSuspension();
+        discardSamplesAfterSuspension();
         boolean newer = position.term() > samples.term();
         if (position.term() >= samples.term()) {
             samples.add(askedMillis, position);
             if (newer || !primaryId.contains(endpointId)) {
-                takeForPrimary(endpointId, "proof");
+                setPrimary(endpointId, "proof");
             }
         }
     }
@@ -260,9 +261,9 @@
             LOG.info("event=primary_lost group={} endpoint={} cause=read_only term={}", name(), endpointId, term());
             primaryId = Option.none();
             Option.of(pools.get(endpointId))
-                    .forEach(pool -> primaryRevision =
-                            Math.max(primaryRevision, pool.endpoint().revision()));
-            listedPrimary().forEach(listed -> takeForPrimary(listed.id(), "listed"));
+                    .forEach(pool -> lastPrimaryRevision =
+                            Math.max(lastPrimaryRevision, pool.endpoint().revision()));
+            listedPrimary().forEach(listed -> setPrimary(listed.id(), "listed"));
             Option.of(pools.get(endpointId)).forEach(pool -> pool.drainWaiting().forEach(this::submit));
         }
     }
@@ -280,22 +281,22 @@
     }
 
     @Override
-    public Option<LogPosition> readFloor(ConnectionRequest work) {
-        checkSuspension();
-        long staleness = Math.max(0, work.stalenessMillis() - STALENESS_MARGIN_MILLIS);
+    public Option<LogPosition> readFloor(ConnectionRequest request) {
+        discardSamplesAfterSuspension();
+        long staleness = Math.max(0, request.stalenessMillis() - STALENESS_MARGIN_MILLIS);
         return samples.floor(clock.getAsLong(), staleness)
-                .map(floor -> floor.max(samples.toLatestTerm(work.sessionFloor())));
+                .map(floor -> floor.max(samples.toLatestTerm(request.sessionFloor())));
     }
 
     @Override
-    public void requeue(ConnectionRequest work) {
-        submit(work);
+    public void requeue(ConnectionRequest request) {
+        submit(request);
     }
 
-    void update(GroupDeclaration declared, SharerCounts sharing, Collection<Endpoint> listed) {
+    void update(GroupDeclaration declared, SharerCounts sharers, Collection<Endpoint> listed) {
         group = declared;
-        vms = sharing.vms();
-        accounts = sharing.accounts();
+        vmCount = sharers.vms();
+        accountCount = sharers.accounts();
         Map<String, Endpoint> byId = new HashMap<>();
         listed.forEach(endpoint -> byId.put(endpoint.id(), endpoint));
         byId.values().forEach(endpoint -> {
@@ -312,42 +313,42 @@
                 removeEndpoint(id);
             }
         }
-        listedPrimary().forEach(endpoint -> takeForPrimary(endpoint.id(), "listed"));
+        listedPrimary().forEach(endpoint -> setPrimary(endpoint.id(), "listed"));
     }
 
     void tick() {
         long now = clock.getAsLong();
-        if (now - tickedMillis > PAUSE_MILLIS) {
+        if (now - lastTickMillis > PAUSE_THRESHOLD_MILLIS) {
             pools.values().forEach(EndpointPool::resetLastContact);
         }
-        tickedMillis = now;
+        lastTickMillis = now;
         List.copyOf(pools.values()).forEach(EndpointPool::tick);
         if (primaryPool().isDefined()) {
-            usableMillis = now;
+            lastUsablePrimaryMillis = now;
         } else {
             findPrimary(now);
         }
-        for (ConnectionRequest work : List.copyOf(leaderless.keySet())) {
-            if (now >= leaderless.get(work)) {
-                leaderless.remove(work);
-                work.refused(ErrorCode.OVERLOADED, "group " + name() + " has no reachable primary");
+        for (ConnectionRequest request : List.copyOf(waitingForPrimary.keySet())) {
+            if (now >= waitingForPrimary.get(request)) {
+                waitingForPrimary.remove(request);
+                request.refused(ErrorCode.OVERLOADED, "group " + name() + " has no reachable primary");
             }
         }
-        if (now - reportedMillis >= REPORT_MILLIS) {
-            reportedMillis = now;
+        if (now - lastReportMillis >= REPORT_INTERVAL_MILLIS) {
+            lastReportMillis = now;
             pools.values().forEach(EndpointPool::report);
         }
-        boolean interest = now - lastReadMillis < READ_INTEREST_MILLIS;
+        boolean recentReads = now - lastReadMillis < SAMPLING_AFTER_READ_MILLIS;
         long intervalMillis = scarce() ? SHARED_SAMPLE_INTERVAL_MILLIS : SAMPLE_INTERVAL_MILLIS;
-        boolean old = now - samples.latestAskedMillis().getOrElse(lastSampleMillis) > intervalMillis;
-        if (interest && old && now - lastSampleMillis > intervalMillis) {
+        boolean outdated = now - samples.latestAskedMillis().getOrElse(lastSampleMillis) > intervalMillis;
+        if (recentReads && outdated && now - lastSampleMillis > intervalMillis) {
             lastSampleMillis = now;
             primaryPool().forEach(EndpointPool::samplePrimary);
         }
     }
 
     /** Ages of positions are unknown once the clock may have stood still. */
-    private void checkSuspension() {
+    private void discardSamplesAfterSuspension() {
         if (suspensions.detectSuspension()) {
             LOG.warn("event=positions_forgotten group={} cause=suspension_or_clock_step term={}", name(), term());
             samples.discardSamples(clock.getAsLong());
@@ -362,8 +363,9 @@
 
     /** Asks all other endpoints whether they lead: the store may be out of reach, or slower than the endpoints. */
     private void findPrimary(long now) {
-        if (now - searchedMillis >= (scarce() ? SHARED_SEARCH_MILLIS : SEARCH_MILLIS)) {
-            searchedMillis = now;
+        if (now - lastSearchMillis
+                >= (scarce() ? SHARED_PRIMARY_SEARCH_INTERVAL_MILLIS : PRIMARY_SEARCH_INTERVAL_MILLIS)) {
+            lastSearchMillis = now;
             pools.values().stream()
                     .filter(pool ->
                             pool.reachable() && !isPrimary(pool.endpoint().id()))
@@ -374,36 +376,39 @@
 
     /** Whether connections are too few for all VMs, so that questions to endpoints go through lenders. */
     private boolean scarce() {
-        return PoolLimits.of(group.maxConnections(), vms, 0, accounts).scarce();
+        return PoolLimits.of(group.maxConnections(), vmCount, 0, accountCount).scarce();
     }
 
     private PoolLimits limits(Endpoint endpoint, Collection<Endpoint> all) {
         long dataCentres = all.stream().map(Endpoint::dataCentre).distinct().count();
         boolean local = !endpoint.primary() && endpoint.dataCentre().equals(dataCentre);
-        int localVms = local ? (int) Math.max(1, (vms + dataCentres - 1) / dataCentres) : 0;
-        return PoolLimits.of(group.maxConnections(), vms, localVms, accounts);
+        int localVms = local ? (int) Math.max(1, (vmCount + dataCentres - 1) / dataCentres) : 0;
+        return PoolLimits.of(group.maxConnections(), vmCount, localVms, accountCount);
     }
 
-    private void submitPinned(ConnectionRequest work) {
-        String endpointId = work.pinnedTo().get();
+    private void submitPinned(ConnectionRequest request) {
+        String endpointId = request.pinnedTo().get();
         if (refusal(endpointId).isEmpty()) {
-            pools.get(endpointId).offer(work);
+            pools.get(endpointId).offer(request);
         } else {
-            work.refused(ErrorCode.OVERLOADED, "endpoint " + endpointId + " does not answer");
+            request.refused(ErrorCode.OVERLOADED, "endpoint " + endpointId + " does not answer");
         }
     }
 
-    private void control(
-            String endpointId, EndpointCommand command, long limitMillis, Consumer<Option<ReplicationStatus>> done) {
+    private void sendControl(
+            String endpointId,
+            EndpointCommand command,
+            long maxWaitMillis,
+            Consumer<Option<ReplicationStatus>> callback) {
         Option.of(pools.get(endpointId))
                 .peek(pool -> pool.sendControl(
                         command,
-                        limitMillis,
-                        reply -> done.accept(reply.filter(Reply::succeeded)
+                        maxWaitMillis,
+                        reply -> callback.accept(reply.filter(Reply::succeeded)
                                 .flatMap(answer ->
                                         Option.ofOptional(answer.rows().stream().findFirst()))
                                 .flatMap(decoder::decode))))
-                .onEmpty(() -> done.accept(Option.none()));
+                .onEmpty(() -> callback.accept(Option.none()));
     }
 
     private void removeEndpoint(String id) {
@@ -421,16 +426,16 @@
     private Option<Endpoint> listedPrimary() {
         return Option.ofOptional(pools.values().stream()
                 .map(EndpointPool::endpoint)
-                .filter(endpoint -> endpoint.primary() && endpoint.revision() > primaryRevision)
+                .filter(endpoint -> endpoint.primary() && endpoint.revision() > lastPrimaryRevision)
                 .max(Comparator.comparingLong(Endpoint::revision)));
     }
 
-    private void takeForPrimary(String endpointId, String cause) {
+    private void setPrimary(String endpointId, String cause) {
         EndpointPool pool = pools.get(endpointId);
         if (pool == null) {
             return;
         }
-        primaryRevision = Math.max(primaryRevision, pool.endpoint().revision());
+        lastPrimaryRevision = Math.max(lastPrimaryRevision, pool.endpoint().revision());
         if (!primaryId.contains(endpointId)) {
             Option<EndpointPool> previous = primaryPool();
             LOG.info(
@@ -441,52 +446,53 @@
                     cause,
                     term());
             primaryId = Option.some(endpointId);
-            previous.forEach(old -> old.drainWaiting().forEach(this::submit));
+            previous.forEach(replaced -> replaced.drainWaiting().forEach(this::submit));
         }
         resubmitWaiting();
     }
 
     private void resubmitWaiting() {
-        List<ConnectionRequest> work = List.copyOf(leaderless.keySet());
-        leaderless.clear();
-        work.forEach(this::submit);
+        List<ConnectionRequest> requests = List.copyOf(waitingForPrimary.keySet());
+        waitingForPrimary.clear();
+        requests.forEach(this::submit);
     }
 
     private Option<EndpointPool> primaryPool() {
         return primaryId.flatMap(id -> Option.of(pools.get(id))).filter(EndpointPool::usable);
     }
 
-    private Option<EndpointPool> readPool(ConnectionRequest work) {
-        boolean sampled = readFloor(work).isDefined();
-        Option<EndpointPool> best = Option.ofOptional(readable(work)
-                .filter(pool -> sampled || isPrimary(pool.endpoint().id()))
-                .min(Comparator.comparingDouble(pool -> cost(pool, work))));
+    private Option<EndpointPool> selectReadPool(ConnectionRequest request) {
+        boolean floorKnown = readFloor(request).isDefined();
+        Option<EndpointPool> best = Option.ofOptional(readCandidates(request)
+                .filter(pool -> floorKnown || isPrimary(pool.endpoint().id()))
+                .min(Comparator.comparingDouble(pool -> cost(pool, request))));
         return best.orElse(this::primaryPool);
     }
 
-    private Stream<EndpointPool> readable(ConnectionRequest work) {
-        boolean settled = pools.values().stream()
+    private Stream<EndpointPool> readCandidates(ConnectionRequest request) {
+        boolean anyActive = pools.values().stream()
                 .anyMatch(pool -> pool.usable() && !pool.endpoint().draining());
         return pools.values().stream()
                 .filter(pool -> pool.usable()
-                        && !work.excludes(pool.endpoint().id())
-                        && !(settled && pool.endpoint().draining()));
+                        && !request.excludes(pool.endpoint().id())
+                        && !(anyActive && pool.endpoint().draining()));
     }
 
-    private double cost(EndpointPool pool, ConnectionRequest work) {
+    private double cost(EndpointPool pool, ConnectionRequest request) {
         boolean remote = !pool.endpoint().dataCentre().equals(dataCentre);
         boolean primary = isPrimary(pool.endpoint().id());
-        return pool.expectedMillis(work.account())
+        return pool.expectedMillis(request.account())
                 + (remote ? REMOTE_PENALTY_MILLIS : 0)
-                + (primary ? PRIMARY_PENALTY_MILLIS : 0);
+                + (primary ? PRIMARY_READ_PENALTY_MILLIS : 0);
     }
 
-    private void waitForPrimary(ConnectionRequest work) {
-        long until = Math.min(usableMillis + work.unavailableWaitMillis(), work.assignmentDeadlineMillis());
+    private void enqueueUntilPrimary(ConnectionRequest request) {
+        long until =
+                Math.min(lastUsablePrimaryMillis + request.unavailableWaitMillis(), request.assignmentDeadlineMillis());
         if (clock.getAsLong() >= until) {
-            work.refused(ErrorCode.OVERLOADED, "group " + name() + " has no reachable primary");
+            request.refused(ErrorCode.OVERLOADED, "group " + name() + " has no reachable primary");
         } else {
-            leaderless.put(work, until);
+            waitingForPrimary.put(request, until);
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroups.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroups.java
@@ -36,14 +36,14 @@
                 .map(Account::name)
                 .distinct()
                 .count();
-        SharerCounts sharing = new SharerCounts(vms, accounts);
+        SharerCounts sharers = new SharerCounts(vms, accounts);
         catalog.groups().values().forEach(declared -> groups.computeIfAbsent(
                         declared.name(), name -> new DatabaseGroup(declared, context))
-                .update(declared, sharing, members(endpoints, declared.name())));
+                .update(declared, sharers, members(endpoints, declared.name())));
         for (String name : List.copyOf(groups.keySet())) {
             if (!catalog.groups().containsKey(name)) {
                 DatabaseGroup removed = groups.remove(name);
-                removed.update(removed.declaration(), sharing, List.of());
+                removed.update(removed.declaration(), sharers, List.of());
             }
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
@@ -29,34 +29,34 @@
 final class EndpointPool {
 
     /** Time for which an unused connection beyond those that are kept stays open, milliseconds. */
-    private static final long EXTRA_IDLE_MILLIS = 100;
+    private static final long SURPLUS_IDLE_TIMEOUT_MILLIS = 100;
 
     /** Time for which an unused connection stays open, milliseconds; endpoints close idle ones after a minute. */
-    private static final long IDLE_MILLIS = 40_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 40_000;
 
     /** Silence with an unanswered question after which an endpoint counts as unreachable, milliseconds. */
-    private static final long SILENCE_MILLIS = 500;
+    private static final long UNREACHABLE_AFTER_MILLIS = 500;
 
     /** Silence after which the endpoint is asked for a sign of life, milliseconds. */
-    private static final long ASK_AFTER_MILLIS = 150;
+    private static final long PROBE_AFTER_MILLIS = 150;
 
     /** Silence after which no new work is given to the endpoint, milliseconds. */
     private static final long SUSPECT_MILLIS = 300;
 
     /** Time after the announcement of its stop until which an endpoint may get work, milliseconds. */
-    private static final long DRAIN_USE_MILLIS = 5_500;
+    private static final long DRAINING_USABLE_MILLIS = 5_500;
 
     /** Part of an opening's time that counts against an endpoint: the connection serves later statements too. */
-    private static final double OPEN_WEIGHT = 0.3;
+    private static final double OPEN_TIME_WEIGHT = 0.3;
 
     /** Part of an endpoint's remaining cold time that counts against it. */
-    private static final double COLD_WEIGHT = 0.01;
+    private static final double COLD_TIME_WEIGHT = 0.01;
 
     private static final Logger LOG = LogManager.getLogger(EndpointPool.class);
 
     private final EndpointConnector connector;
     private final LeaseSource leases;
-    private final PoolCallbacks events;
+    private final PoolCallbacks callbacks;
     private final LongSupplier clock;
     private final List<PooledConnection> connections = new ArrayList<>();
     private final ConnectionRequestQueue waiting = new ConnectionRequestQueue();
@@ -65,33 +65,33 @@
     private final ConnectionBudget budget;
     private final PrimarySampler sampler;
     private Endpoint endpoint;
-    private long askedMillis;
+    private long lastProbeMillis;
     private boolean suspect;
     private long suspectUntilMillis;
     private Option<Long> drainingSinceMillis = Option.none();
-    private long lastHeardMillis;
+    private long lastContactMillis;
     private boolean reachable = true;
-    private boolean pumping;
-    private Account lastAccount = Account.ANONYMOUS;
+    private boolean dispatching;
+    private Account lastOpenedAccount = Account.ANONYMOUS;
 
-    EndpointPool(Endpoint endpoint, PoolLimits limits, GroupContext context, PoolCallbacks events) {
+    EndpointPool(Endpoint endpoint, PoolLimits limits, GroupContext context, PoolCallbacks callbacks) {
         this.endpoint = endpoint;
         this.budget = new ConnectionBudget(limits);
         this.connector = context.connector();
         this.leases = context.leases();
-        this.events = events;
+        this.callbacks = callbacks;
         this.clock = context.clock();
         this.sampler = new PrimarySampler(this);
-        this.lastHeardMillis = clock.getAsLong();
-        this.suspectUntilMillis = lastHeardMillis;
+        this.lastContactMillis = clock.getAsLong();
+        this.suspectUntilMillis = lastContactMillis;
     }
 
     Endpoint endpoint() {
         return endpoint;
     }
 
-    PoolCallbacks events() {
-        return events;
+    PoolCallbacks callbacks() {
+        return callbacks;
     }
 
     long nowMillis() {
@@ -119,7 +119,7 @@
     boolean usable() {
         return reachable
                 && !isSuspect()
-                && !drainingSinceMillis.exists(since -> nowMillis() - since > DRAIN_USE_MILLIS);
+                && !drainingSinceMillis.exists(since -> nowMillis() - since > DRAINING_USABLE_MILLIS);
     }
 
     /** Whether the endpoint has been silent for a while. */
@@ -129,35 +129,38 @@
 
     /** Expected milliseconds until a new statement of an account would be answered. */
     double expectedMillis(Account account) {
-        double cold = endpoint.coldMillis() * COLD_WEIGHT;
+        double cold = endpoint.coldMillis() * COLD_TIME_WEIGHT;
         double service = estimates.serviceMillis();
-        if (borrows()) {
+        if (isBorrower()) {
             return estimates.leaseMillis(nowMillis()) + service + cold;
         }
         long usable = direct().filter(c -> c.serves(account)).count();
         boolean idle = direct().anyMatch(c -> c.idle() && c.serves(account));
-        double opening = idle ? 0 : estimates.openMillis() * OPEN_WEIGHT;
+        double opening = idle ? 0 : estimates.openMillis() * OPEN_TIME_WEIGHT;
         double queued = waiting.size() * service / Math.max(1, Math.max(usable, directCount()));
         double busy = direct().filter(c -> !c.idle()).count() * service / 2;
         return opening + queued + busy + service + cold;
     }
 
-    void offer(ConnectionRequest work) {
-        waiting.add(work, nowMillis());
+    void offer(ConnectionRequest request) {
+        waiting.add(request, nowMillis());
         dispatch();
     }
 
     /** Queues work of another VM, for which connections are kept from now on. */
-    void lend(ConnectionRequest work) {
+    void lend(ConnectionRequest request) {
         budget.recordLending(nowMillis());
-        offer(work);
+        offer(request);
     }
 
     /** Opens a connection that work of an account is about to need, unless one is at hand or on its way. */
     void prefetch(Account account, boolean evict) {
         long now = nowMillis();
         boolean ready = direct().anyMatch(c -> (c.idle() || c.opening()) && c.serves(account));
-        if (!borrows() && !ready && budget.mayOpen(now) && (evict ? makeRoom(now) : directCount() < kept(now))) {
+        if (!isBorrower()
+                && !ready
+                && budget.mayOpen(now)
+                && (evict ? makeRoom(now) : directCount() < targetSize(now))) {
             open(account, now);
         }
     }
@@ -189,10 +192,10 @@
     void tick() {
         long now = nowMillis();
         waiting.removeExpired(now)
-                .forEach(work -> work.refused(
+                .forEach(request -> request.refused(
                         ErrorCode.OVERLOADED, "no connection to " + endpoint.id() + " became free in time"));
-        checkSilence(now);
-        closeUnused(now);
+        checkLastContact(now);
+        closeExpiredIdle(now);
         if (!reachable) {
             probe(now);
         }
@@ -202,7 +205,7 @@
 
     /** Asks whether the endpoint is the primary and for its position. */
     void samplePrimary() {
-        if (!borrows() || !leases.queryPosition(endpoint, new SampleReport(nowMillis()))) {
+        if (!isBorrower() || !leases.queryPosition(endpoint, new LenderPositionListener(nowMillis()))) {
             sampler.sample();
         }
     }
@@ -224,16 +227,16 @@
 
     /** Assigns connections to waiting work and opens what is missing. */
     void dispatch() {
-        if (pumping) {
+        if (dispatching) {
             return;
         }
-        pumping = true;
+        dispatching = true;
         try {
             assignIdle();
             openMissing();
-            returnLeases();
+            returnUnusedLeases();
         } finally {
-            pumping = false;
+            dispatching = false;
         }
     }
 
@@ -242,15 +245,15 @@
     }
 
     void recordContact() {
-        lastHeardMillis = nowMillis();
+        lastContactMillis = nowMillis();
         suspect = false;
-        suspectUntilMillis = lastHeardMillis;
+        suspectUntilMillis = lastContactMillis;
         markReachable();
     }
 
     /** This VM did not run for a while, so the silence of endpoints says nothing. */
     void resetLastContact() {
-        lastHeardMillis = nowMillis();
+        lastContactMillis = nowMillis();
     }
 
     void recordOpened(long millis) {
@@ -274,7 +277,7 @@
             recordContact();
             budget.recordFull(directCount(), now);
             if (directCount() < budget.guaranteed()) {
-                events.connectionShortage(endpoint.id());
+                callbacks.connectionShortage(endpoint.id());
             }
         } else {
             budget.recordForeignProcess(now);
@@ -302,7 +305,7 @@
             }
             case SUSPECT -> {
                 suspectUntilMillis = nowMillis() + SUSPECT_MILLIS;
-                drainWaiting().forEach(events::requeue);
+                drainWaiting().forEach(callbacks::requeue);
             }
             case UNREACHABLE -> markUnreachable("lender_does_not_reach_it");
             default -> dispatch();
@@ -310,8 +313,9 @@
     }
 
     /** Sends a command of the VM's own; the answer is missing when no connection is available in time. */
-    void sendControl(EndpointCommand command, long limitMillis, Consumer<Option<Reply>> done) {
-        offer(new ControlCommandRequest(endpoint.id(), command, lastAccount, nowMillis() + limitMillis, done));
+    void sendControl(EndpointCommand command, long maxWaitMillis, Consumer<Option<Reply>> callback) {
+        offer(new ControlCommandRequest(
+                endpoint.id(), command, lastOpenedAccount, nowMillis() + maxWaitMillis, callback));
     }
 
     /** Closes connections as soon as they are unused, for the VMs that take over. */
@@ -333,58 +337,58 @@
     }
 
     /** Whether this VM borrows connections to the endpoint from another one. */
-    private boolean borrows() {
+    private boolean isBorrower() {
         return budget.scarce() && leases.role(endpoint) == LeaseRole.BORROWER;
     }
 
-    private int kept(long now) {
+    private int targetSize(long now) {
         return budget.targetSize(leases.role(endpoint) == LeaseRole.LENDER, now);
     }
 
     private void assignIdle() {
-        for (ConnectionRequest work : waiting.all()) {
+        for (ConnectionRequest request : waiting.all()) {
             Option<PooledConnection> idle = Option.ofOptional(connections.stream()
-                    .filter(c -> c.idle() && c.serves(work))
+                    .filter(c -> c.idle() && c.serves(request))
                     .max(Comparator.comparingLong(PooledConnection::stateSinceMillis)));
-            idle.filter(connection -> waiting.contains(work)).forEach(connection -> assign(work, connection));
+            idle.filter(connection -> waiting.contains(request)).forEach(connection -> assign(request, connection));
         }
     }
 
-    private void assign(ConnectionRequest work, PooledConnection connection) {
-        long waitedMillis = waiting.remove(work, nowMillis());
-        boolean pinned = work.pinnedTo().isDefined();
-        Option<LogPosition> floor = work.primaryOnly() || pinned ? Option.none() : events.readFloor(work);
-        if (floor.isEmpty() && !pinned && !events.isPrimary(endpoint.id())) {
-            events.requeue(work);
+    private void assign(ConnectionRequest request, PooledConnection connection) {
+        long waitedMillis = waiting.remove(request, nowMillis());
+        boolean pinned = request.pinnedTo().isDefined();
+        Option<LogPosition> floor = request.primaryOnly() || pinned ? Option.none() : callbacks.readFloor(request);
+        if (floor.isEmpty() && !pinned && !callbacks.isPrimary(endpoint.id())) {
+            callbacks.requeue(request);
             return;
         }
         counters.recordAssigned(waitedMillis);
         connection.markLent();
-        work.assigned(connection, floor);
+        request.assigned(connection, floor);
     }
 
     private void openMissing() {
         long now = nowMillis();
         Map<Demand, Integer> demand = new HashMap<>();
-        for (ConnectionRequest work : waiting.all()) {
-            boolean pinned = work.pinnedTo().isDefined();
-            int missing = demand.merge(new Demand(work.account().name(), pinned), 1, Integer::sum);
+        for (ConnectionRequest request : waiting.all()) {
+            boolean pinned = request.pinnedTo().isDefined();
+            int missing = demand.merge(new Demand(request.account().name(), pinned), 1, Integer::sum);
             long opening = connections.stream()
-                    .filter(c -> c.opening() && c.serves(work))
+                    .filter(c -> c.opening() && c.serves(request))
                     .count();
-            if (opening < missing && !borrow(work, now) && budget.mayOpen(now) && makeRoom(now)) {
-                open(work.account(), now);
+            if (opening < missing && !tryBorrow(request, now) && budget.mayOpen(now) && makeRoom(now)) {
+                open(request.account(), now);
             }
         }
     }
 
-    private boolean borrow(ConnectionRequest work, long now) {
-        if (work.pinnedTo().isDefined() || !borrows()) {
+    private boolean tryBorrow(ConnectionRequest request, long now) {
+        if (request.pinnedTo().isDefined() || !isBorrower()) {
             return false;
         }
-        PooledConnection connection = new PooledConnection(this, work.account(), now);
+        PooledConnection connection = new PooledConnection(this, request.account(), now);
         Option<BorrowedLink> lent = leases.borrow(
-                endpoint, work.account(), work.priority(), work.assignmentDeadlineMillis() - now, connection);
+                endpoint, request.account(), request.priority(), request.assignmentDeadlineMillis() - now, connection);
         lent.forEach(link -> {
             connections.add(connection);
             connection.attach(link);
@@ -393,13 +397,14 @@
     }
 
     /** Returns borrowed connections that are not in use, and gives up requests that no work waits for. */
-    private void returnLeases() {
+    private void returnUnusedLeases() {
         if (directCount() == connections.size()) {
             return;
         }
         Map<String, Long> needed = waiting.all().stream()
-                .filter(work -> work.pinnedTo().isEmpty())
-                .collect(Collectors.groupingBy(work -> work.account().name(), HashMap::new, Collectors.counting()));
+                .filter(request -> request.pinnedTo().isEmpty())
+                .collect(Collectors.groupingBy(
+                        request -> request.account().name(), HashMap::new, Collectors.counting()));
         for (PooledConnection connection : List.copyOf(connections)) {
             boolean surplus =
                     connection.opening() && needed.merge(connection.account().name(), -1L, Long::sum) < 0;
@@ -411,8 +416,8 @@
 
     private void refuseLast(Account account) {
         List<ConnectionRequest> ofAccount = waiting.all().stream()
-                .filter(work ->
-                        work.pinnedTo().isEmpty() && work.account().name().equals(account.name()))
+                .filter(request ->
+                        request.pinnedTo().isEmpty() && request.account().name().equals(account.name()))
                 .toList();
         if (!ofAccount.isEmpty()) {
             ConnectionRequest last = ofAccount.get(ofAccount.size() - 1);
@@ -423,7 +428,7 @@
 
     /** Makes room for one more connection, if need be by closing an unused one of another account. */
     private boolean makeRoom(long now) {
-        if (directCount() < kept(now)) {
+        if (directCount() < targetSize(now)) {
             return true;
         }
         Option<PooledConnection> oldest = Option.ofOptional(direct().filter(PooledConnection::idle)
@@ -440,43 +445,44 @@
     private void probe(long now) {
         boolean opening = direct().anyMatch(PooledConnection::opening);
         if (!opening && budget.mayOpen(now)) {
-            open(lastAccount, now);
+            open(lastOpenedAccount, now);
         }
     }
 
     private void open(Account account, long now) {
-        lastAccount = account;
+        lastOpenedAccount = account;
         PooledConnection connection = new PooledConnection(this, account, now);
         connections.add(connection);
         connection.attach(connector.open(endpoint, account, connection));
     }
 
-    private void checkSilence(long now) {
+    private void checkLastContact(long now) {
         Option<Long> since = Option.ofOptional(
                 direct().flatMap(c -> c.unansweredSinceMillis().toJavaStream()).min(Comparator.naturalOrder()));
-        long silence = since.map(from -> now - Math.max(from, lastHeardMillis)).getOrElse(0L);
-        if (silence > ASK_AFTER_MILLIS && now - askedMillis > ASK_AFTER_MILLIS) {
-            askedMillis = now;
+        long silentMillis =
+                since.map(from -> now - Math.max(from, lastContactMillis)).getOrElse(0L);
+        if (silentMillis > PROBE_AFTER_MILLIS && now - lastProbeMillis > PROBE_AFTER_MILLIS) {
+            lastProbeMillis = now;
             sampler.sample();
         }
-        if (silence > SUSPECT_MILLIS) {
+        if (silentMillis > SUSPECT_MILLIS) {
             suspect = true;
-            drainWaiting().forEach(events::requeue);
+            drainWaiting().forEach(callbacks::requeue);
         }
-        if (silence > SILENCE_MILLIS) {
+        if (silentMillis > UNREACHABLE_AFTER_MILLIS) {
             markUnreachable("silent");
-            direct().filter(c -> c.opening() && now - c.stateSinceMillis() > SILENCE_MILLIS)
+            direct().filter(c -> c.opening() && now - c.stateSinceMillis() > UNREACHABLE_AFTER_MILLIS)
                     .toList()
                     .forEach(PooledConnection::discard);
         }
     }
 
-    private void closeUnused(long now) {
-        int kept = kept(now);
+    private void closeExpiredIdle(long now) {
+        int targetSize = targetSize(now);
         for (PooledConnection connection : direct().toList()) {
-            boolean extra = directCount() > kept;
-            long limit = extra ? EXTRA_IDLE_MILLIS : IDLE_MILLIS;
-            if (connection.idle() && now - connection.stateSinceMillis() > limit) {
+            boolean surplus = directCount() > targetSize;
+            long timeoutMillis = surplus ? SURPLUS_IDLE_TIMEOUT_MILLIS : IDLE_TIMEOUT_MILLIS;
+            if (connection.idle() && now - connection.stateSinceMillis() > timeoutMillis) {
                 connection.discard();
             }
         }
@@ -486,7 +492,7 @@
         if (!reachable) {
             reachable = true;
             LOG.info("event=endpoint_reachable endpoint={} group={}", endpoint.id(), endpoint.group());
-            events.reachabilityChanged(endpoint.id(), true);
+            callbacks.reachabilityChanged(endpoint.id(), true);
         }
     }
 
@@ -498,32 +504,32 @@
                     endpoint.id(),
                     endpoint.group(),
                     cause,
-                    nowMillis() - lastHeardMillis);
+                    nowMillis() - lastContactMillis);
             sampler.notifyUnreachable();
-            events.reachabilityChanged(endpoint.id(), false);
-            drainWaiting().forEach(events::requeue);
+            callbacks.reachabilityChanged(endpoint.id(), false);
+            drainWaiting().forEach(callbacks::requeue);
         }
     }
 
     /** Connections that work needs: of which client account, and whether they must lead straight to the endpoint. */
     private record Demand(String account, boolean direct) {}
 
-    private final class SampleReport implements PositionListener {
+    private final class LenderPositionListener implements PositionListener {
 
         private final long askedAtMillis;
 
-        SampleReport(long askedAtMillis) {
+        LenderPositionListener(long askedAtMillis) {
             this.askedAtMillis = askedAtMillis;
         }
 
         @Override
         public void primaryConfirmed(LogPosition position) {
-            events.primaryConfirmed(endpoint.id(), askedAtMillis, position);
+            callbacks.primaryConfirmed(endpoint.id(), askedAtMillis, position);
         }
 
         @Override
         public void notPrimary() {
-            events.notPrimary(endpoint.id());
+            callbacks.notPrimary(endpoint.id());
         }
 
         @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/GroupContext.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/GroupContext.java
@@ -10,15 +10,15 @@
  * @param connector opens connections
  * @param leases connections that other VMs lend
  * @param decoder reads answers to status queries
- * @param shortage told group and endpoint when an endpoint refuses what the VM's guaranteed share includes
+ * @param shortageListener told group and endpoint when an endpoint refuses what the VM's guaranteed share includes
  * @param clock milliseconds of the monotonic clock
- * @param timeOfDay milliseconds since the epoch, which may jump
+ * @param wallClock milliseconds since the epoch, which may jump
  */
 public record GroupContext(
         String dataCentre,
         EndpointConnector connector,
         LeaseSource leases,
         StatusDecoder decoder,
-        BiConsumer<String, String> shortage,
+        BiConsumer<String, String> shortageListener,
         LongSupplier clock,
-        LongSupplier timeOfDay) {}
+        LongSupplier wallClock) {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LatencyEstimates.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LatencyEstimates.java
@@ -3,18 +3,18 @@
 /** Smoothed times that an endpoint and its lender take. */
 final class LatencyEstimates {
 
-    private static final double SMOOTHING = 0.1;
-    private static final double FIRST_SERVICE_MILLIS = 10;
-    private static final double FIRST_OPEN_MILLIS = 15;
-    private static final double FIRST_LEASE_MILLIS = 3;
+    private static final double SMOOTHING_FACTOR = 0.1;
+    private static final double INITIAL_SERVICE_MILLIS = 10;
+    private static final double INITIAL_OPEN_MILLIS = 15;
+    private static final double INITIAL_LEASE_MILLIS = 3;
 
     /** Time in which an estimate of a lease falls to a third without new ones, so that its endpoint is tried again. */
     private static final double LEASE_DECAY_MILLIS = 500;
 
-    private double serviceMillis = FIRST_SERVICE_MILLIS;
-    private double openMillis = FIRST_OPEN_MILLIS;
-    private double leaseMillis = FIRST_LEASE_MILLIS;
-    private long leasedMillis;
+    private double serviceMillis = INITIAL_SERVICE_MILLIS;
+    private double openMillis = INITIAL_OPEN_MILLIS;
+    private double leaseMillis = INITIAL_LEASE_MILLIS;
+    private long lastLeaseMillis;
 
     double serviceMillis() {
         return serviceMillis;
@@ -25,19 +25,19 @@
     }
 
     double leaseMillis(long nowMillis) {
-        return leaseMillis * Math.exp((leasedMillis - nowMillis) / LEASE_DECAY_MILLIS);
+        return leaseMillis * Math.exp((lastLeaseMillis - nowMillis) / LEASE_DECAY_MILLIS);
     }
 
     void recordService(long millis) {
-        serviceMillis += SMOOTHING * (millis - serviceMillis);
+        serviceMillis += SMOOTHING_FACTOR * (millis - serviceMillis);
     }
 
     void recordOpen(long millis) {
-        openMillis += SMOOTHING * (millis - openMillis);
+        openMillis += SMOOTHING_FACTOR * (millis - openMillis);
     }
 
     void recordLease(long millis, long nowMillis) {
-        leaseMillis += SMOOTHING * (millis - leaseMillis);
-        leasedMillis = nowMillis;
+        leaseMillis += SMOOTHING_FACTOR * (millis - leaseMillis);
+        lastLeaseMillis = nowMillis;
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseRole.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseRole.java
@@ -10,5 +10,5 @@
     BORROWER,
 
     /** It connects for itself, because no VM lends. */
-    ALONE
+    DIRECT
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseSource.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseSource.java
@@ -16,12 +16,12 @@
     LeaseSource NONE = new LeaseSource() {
         @Override
         public LeaseRole role(Endpoint endpoint) {
-            return LeaseRole.ALONE;
+            return LeaseRole.DIRECT;
         }
 
         @Override
         public Option<BorrowedLink> borrow(
-                Endpoint endpoint, Account account, int priority, long waitMillis, EndpointLink.Listener listener) {
+                Endpoint endpoint, Account account, int priority, long maxWaitMillis, EndpointLink.Listener listener) {
             return Option.none();
         }
 
@@ -44,12 +44,12 @@
      * @param endpoint the endpoint
      * @param account the client account that the connection serves
      * @param priority 0 for the most important
-     * @param waitMillis milliseconds after which it is no longer needed
+     * @param maxWaitMillis milliseconds after which it is no longer needed
      * @param listener told, on the decision thread, what arrives
      * @return nothing when no other VM is to be asked
      */
     Option<BorrowedLink> borrow(
-            Endpoint endpoint, Account account, int priority, long waitMillis, EndpointLink.Listener listener);
+            Endpoint endpoint, Account account, int priority, long maxWaitMillis, EndpointLink.Listener listener);
 
     /**
      * Asks the lender whether an endpoint is the primary.
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCallbacks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCallbacks.java
@@ -22,8 +22,8 @@
     boolean isPrimary(String endpointId);
 
     /** The position that a read must ask for; nothing when no recent enough position of the primary is known. */
-    Option<LogPosition> readFloor(ConnectionRequest work);
+    Option<LogPosition> readFloor(ConnectionRequest request);
 
     /** Work could not be run by this endpoint and needs another one. */
-    void requeue(ConnectionRequest work);
+    void requeue(ConnectionRequest request);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
@@ -23,18 +23,18 @@
 
     private final EndpointPool pool;
     private final Account account;
-    private final Deque<Pending> pending = new ArrayDeque<>();
+    private final Deque<PendingCommand> pending = new ArrayDeque<>();
     private final Map<String, String> values = new TreeMap<>();
     private final Set<PreparedShape> prepared = new HashSet<>();
     private EndpointLink link;
     private State state = State.OPENING;
     private TransactionStatus status = TransactionStatus.IDLE;
-    private long sinceMillis;
+    private long stateSinceMillis;
 
     PooledConnection(EndpointPool pool, Account account, long nowMillis) {
         this.pool = pool;
         this.account = account;
-        this.sinceMillis = nowMillis;
+        this.stateSinceMillis = nowMillis;
     }
 
     /** Identifier of the endpoint. */
@@ -45,21 +45,21 @@
     /**
      * Gives the connection the values of a session and prepares what the next statement executes.
      *
-     * @param wanted the session's values
+     * @param sessionValues the session's values
      * @param shape the prepared statement to execute next
      */
-    public void applySession(Map<String, String> wanted, Option<PreparedShape> shape) {
+    public void applySession(Map<String, String> sessionValues, Option<PreparedShape> shape) {
         if (link instanceof BorrowedLink borrowed) {
-            borrowed.applySession(wanted, shape);
+            borrowed.applySession(sessionValues, shape);
             return;
         }
         List<EndpointCommand> commands = new ArrayList<>();
-        if (!wanted.keySet().containsAll(values.keySet())) {
+        if (!sessionValues.keySet().containsAll(values.keySet())) {
             commands.add(new EndpointCommand.Reset());
             values.clear();
             prepared.clear();
         }
-        wanted.forEach((name, value) -> {
+        sessionValues.forEach((name, value) -> {
             if (!value.equals(values.put(name, value))) {
                 commands.add(new EndpointCommand.SetValue(name, value));
             }
@@ -79,8 +79,8 @@
             handler.connectionLost();
             return;
         }
-        boolean timed = command instanceof EndpointCommand.Forward || command instanceof EndpointCommand.Execute;
-        pending.addLast(new Pending(handler, pool.nowMillis(), timed));
+        boolean measured = command instanceof EndpointCommand.Forward || command instanceof EndpointCommand.Execute;
+        pending.addLast(new PendingCommand(handler, pool.nowMillis(), measured));
         link.send(List.of(command));
     }
 
@@ -96,19 +96,19 @@
      * @param position the position
      */
     public void reportPrimary(long askedMillis, LogPosition position) {
-        pool.events().primaryConfirmed(pool.endpoint().id(), askedMillis, position);
+        pool.callbacks().primaryConfirmed(pool.endpoint().id(), askedMillis, position);
     }
 
     /** Reports that the endpoint refused what only a primary accepts. */
     public void reportNotPrimary() {
-        pool.events().notPrimary(pool.endpoint().id());
+        pool.callbacks().notPrimary(pool.endpoint().id());
     }
 
     /** Returns the connection; it is lent again once all commands are answered. */
     public void release() {
         if (state == State.LENT) {
             state = State.RETURNING;
-            settle();
+            completeReturn();
         }
     }
 
@@ -116,7 +116,7 @@
     public void discard() {
         if (state != State.CLOSED) {
             link.close();
-            end();
+            markClosed();
         }
     }
 
@@ -126,14 +126,14 @@
             pool.recordContact();
         }
         if (state == State.OPENING) {
-            long tookMillis = pool.nowMillis() - sinceMillis;
+            long tookMillis = pool.nowMillis() - stateSinceMillis;
             if (direct()) {
                 pool.recordOpened(tookMillis);
             } else {
                 pool.recordLeased(tookMillis);
             }
             state = State.IDLE;
-            sinceMillis = pool.nowMillis();
+            stateSinceMillis = pool.nowMillis();
             pool.dispatch();
         }
     }
@@ -142,7 +142,7 @@
     public void refused(ErrorCode code) {
         if (state == State.OPENING) {
             link.close();
-            end();
+            markClosed();
             pool.openRefused(code);
         }
     }
@@ -150,17 +150,17 @@
     @Override
     public void replied(Reply reply) {
         pool.recordContact();
-        Pending first = pending.pollFirst();
+        PendingCommand first = pending.pollFirst();
         if (first == null) {
             discard();
             return;
         }
         status = reply.status();
-        if (first.timed()) {
+        if (first.measured()) {
             pool.recordServiceTime(pool.nowMillis() - first.sentMillis());
         }
         first.handler().replied(reply);
-        settle();
+        completeReturn();
     }
 
     @Override
@@ -169,7 +169,7 @@
             return;
         }
         boolean opening = state == State.OPENING;
-        end();
+        markClosed();
         pool.connectionFailed(opening);
     }
 
@@ -179,7 +179,7 @@
             return;
         }
         boolean opening = state == State.OPENING;
-        end();
+        markClosed();
         pool.leaseEnded(account, opening, reason);
     }
 
@@ -192,9 +192,9 @@
         return account.name().equals(other.name());
     }
 
-    boolean serves(ConnectionRequest work) {
-        boolean pinned = work.pinnedTo().isDefined();
-        return (direct() || !pinned) && (work.acceptsAnyAccount() || serves(work.account()));
+    boolean serves(ConnectionRequest request) {
+        boolean pinned = request.pinnedTo().isDefined();
+        return (direct() || !pinned) && (request.acceptsAnyAccount() || serves(request.account()));
     }
 
     void attach(EndpointLink opened) {
@@ -214,23 +214,23 @@
     }
 
     long stateSinceMillis() {
-        return sinceMillis;
+        return stateSinceMillis;
     }
 
     /** Time since when the oldest unanswered command or the opening waits; nothing when none does. */
     Option<Long> unansweredSinceMillis() {
         if (state == State.OPENING) {
-            return Option.some(sinceMillis);
+            return Option.some(stateSinceMillis);
         }
-        return Option.of(pending.peekFirst()).map(Pending::sentMillis);
+        return Option.of(pending.peekFirst()).map(PendingCommand::sentMillis);
     }
 
     void markLent() {
         state = State.LENT;
-        sinceMillis = pool.nowMillis();
+        stateSinceMillis = pool.nowMillis();
     }
 
-    private void settle() {
+    private void completeReturn() {
         if (state != State.RETURNING || !pending.isEmpty()) {
             return;
         }
@@ -239,16 +239,16 @@
             return;
         }
         state = State.IDLE;
-        sinceMillis = pool.nowMillis();
+        stateSinceMillis = pool.nowMillis();
         pool.dispatch();
     }
 
-    private void end() {
+    private void markClosed() {
         state = State.CLOSED;
         pool.remove(this);
-        List<Pending> lost = List.copyOf(pending);
+        List<PendingCommand> unanswered = List.copyOf(pending);
         pending.clear();
-        lost.forEach(one -> one.handler().connectionLost());
+        unanswered.forEach(one -> one.handler().connectionLost());
     }
 
     private enum State {
@@ -259,9 +259,9 @@
         CLOSED
     }
 
-    private record Pending(ReplyHandler handler, long sentMillis, boolean timed) {
+    private record PendingCommand(ReplyHandler handler, long sentMillis, boolean measured) {
 
-        Pending {
+        PendingCommand {
             Objects.requireNonNull(handler, "a command must have a handler");
         }
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
@@ -44,24 +44,24 @@
 
     /** The endpoint cannot be reached. */
     void notifyUnreachable() {
-        List<PositionListener> told = List.copyOf(listeners);
+        List<PositionListener> notified = List.copyOf(listeners);
         listeners.clear();
-        told.forEach(PositionListener::unreachable);
+        notified.forEach(PositionListener::unreachable);
     }
 
     /** Sends the question if a connection is at hand. */
     void sample() {
         pool.findIdleOrOpen().forEach(connection -> {
-            List<PositionListener> told = List.copyOf(listeners);
+            List<PositionListener> notified = List.copyOf(listeners);
             listeners.clear();
             connection.markLent();
             connection.send(
                     new EndpointCommand.Begin(false, Option.none()),
-                    new SampleReply(connection, pool.nowMillis(), told));
+                    new SampleReply(connection, pool.nowMillis(), notified));
         });
     }
 
-    private record SampleReply(PooledConnection connection, long askedMillis, List<PositionListener> told)
+    private record SampleReply(PooledConnection connection, long askedMillis, List<PositionListener> notified)
             implements ReplyHandler {
 
         @Override
@@ -69,12 +69,12 @@
             if (reply.succeeded()) {
                 reply.position().forEach(position -> {
                     connection.reportPrimary(askedMillis, position);
-                    told.forEach(listener -> listener.primaryConfirmed(position));
+                    notified.forEach(listener -> listener.primaryConfirmed(position));
                 });
                 connection.send(new EndpointCommand.Rollback(), ReplyHandler.NONE);
             } else if (reply.error().contains(ErrorCode.READ_ONLY)) {
                 connection.reportNotPrimary();
-                told.forEach(PositionListener::notPrimary);
+                notified.forEach(PositionListener::notPrimary);
             }
             connection.release();
         }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SuspensionDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SuspensionDetector.java
@@ -14,18 +14,18 @@
     private static final long TOLERANCE_MILLIS = 100;
 
     private final LongSupplier monotonicMillis;
-    private final LongSupplier timeOfDayMillis;
+    private final LongSupplier wallClockMillis;
     private long differenceMillis;
 
-    SuspensionDetector(LongSupplier monotonicMillis, LongSupplier timeOfDayMillis) {
+    SuspensionDetector(LongSupplier monotonicMillis, LongSupplier wallClockMillis) {
         this.monotonicMillis = monotonicMillis;
-        this.timeOfDayMillis = timeOfDayMillis;
-        this.differenceMillis = timeOfDayMillis.getAsLong() - monotonicMillis.getAsLong();
+        this.wallClockMillis = wallClockMillis;
+        this.differenceMillis = wallClockMillis.getAsLong() - monotonicMillis.getAsLong();
     }
 
     /** Whether the VM may have been suspended since this method last returned true. */
     boolean detectSuspension() {
-        long difference = timeOfDayMillis.getAsLong() - monotonicMillis.getAsLong();
+        long difference = wallClockMillis.getAsLong() - monotonicMillis.getAsLong();
         if (Math.abs(difference - differenceMillis) <= TOLERANCE_MILLIS) {
             return false;
         }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/lease/ConnectionBorrower.java
@@ -102,7 +102,7 @@
         return directory
                 .lender(endpoint, clock.getAsLong())
                 .map(vm -> vm.equals(self) ? LeaseRole.LENDER : LeaseRole.BORROWER)
-                .getOrElse(LeaseRole.ALONE);
+                .getOrElse(LeaseRole.DIRECT);
     }
 
     @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/ErrorCode.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/ErrorCode.java
@@ -31,14 +31,14 @@
     /** The statement is not permitted in the present state or cannot be read. */
     MALFORMED(false);
 
-    private final boolean nothingKept;
+    private final boolean guaranteesNoEffect;
 
-    ErrorCode(boolean nothingKept) {
-        this.nothingKept = nothingKept;
+    ErrorCode(boolean guaranteesNoEffect) {
+        this.guaranteesNoEffect = guaranteesNoEffect;
     }
 
     /** Whether the code promises callers that nothing of their attempt is kept. */
     public boolean guaranteesNoEffect() {
-        return nothingKept;
+        return guaranteesNoEffect;
     }
 }
