--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Account.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Account.java
@@ -6,11 +6,11 @@
 /**
  * A client account.
  *
- * @param name its name, as endpoints are told
- * @param limit operations over all VMs together; nothing when it is not limited
+ * @param name name of the account, which is sent to endpoints
+ * @param limit rate of operations over all VMs together; none if the account is not limited
  */
 public record Account(String name, Option<Rate> limit) {
 
-    /** Who uses a route that needs no key. */
+    /** The account of callers that connect without a key, to a route that requires none. */
     public static final Account ANONYMOUS = new Account("-", Option.none());
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Catalog.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Catalog.java
@@ -7,13 +7,13 @@
 import java.util.stream.Collectors;
 
 /**
- * One version of the operator's whole configuration.
+ * One version of the complete configuration that the operator declares.
  *
- * @param version number of the version; later versions have higher numbers
+ * @param version number of the version, which increases with every change
  * @param routes routes by database name
  * @param groups groups by name
  * @param accounts client accounts by key
- * @param transactionIdleMillis time after which an idle transaction may be ended, milliseconds
+ * @param transactionIdleMillis idle timeout of a transaction, milliseconds
  */
 public record Catalog(
         long version,
@@ -22,10 +22,10 @@
         Map<String, Account> accounts,
         long transactionIdleMillis) {
 
-    /** The configuration of a VM that has read none yet. */
+    /** The empty configuration that a VM has before it has read the first version. */
     public static final Catalog EMPTY = new Catalog(-1, Map.of(), Map.of(), Map.of(), 3_000);
 
-    /** Copies the maps. */
+    /** Copies the maps, so that the version is immutable. */
     public Catalog {
         routes = Map.copyOf(routes);
         groups = Map.copyOf(groups);
@@ -33,13 +33,13 @@
     }
 
     /**
-     * Builds a version from lists.
+     * Creates a version from lists; of entries with the same key the first is used.
      *
      * @param version number of the version
      * @param routes the routes
      * @param groups the groups
      * @param accounts client accounts by key
-     * @param transactionIdleMillis time after which an idle transaction may be ended, milliseconds
+     * @param transactionIdleMillis idle timeout of a transaction, milliseconds
      */
     public static Catalog of(
             long version,
@@ -56,16 +56,16 @@
     }
 
     /**
-     * Finds the route of a database name.
+     * Returns the route of a database name, if there is one.
      *
-     * @param database name as given by the caller
+     * @param database database name as given by the caller
      */
     public Option<Route> findRoute(String database) {
         return Option.of(routes.get(database));
     }
 
     /**
-     * Finds the client account of a key.
+     * Returns the client account that a key belongs to, if there is one.
      *
      * @param key the key as given by the caller
      */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Endpoint.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Endpoint.java
@@ -1,18 +1,18 @@
 package org.hyssopswitch.pool.catalog;
 
 /**
- * What the platform lists about one database server.
+ * A database server as listed by the platform.
  *
- * @param id its identifier
- * @param group its group
+ * @param id identifier of the endpoint
+ * @param group name of the database group that it belongs to
  * @param host IP address
  * @param port TCP port
- * @param dataCentre its data centre
- * @param draining whether it is about to stop
- * @param primary whether it sees itself as the primary of its group
- * @param bornMillis time of its start, milliseconds since the epoch
- * @param coldMillis milliseconds for which it stays slow after its start
- * @param revision store revision of the entry; later changes have higher numbers
+ * @param dataCentre data centre in which it runs
+ * @param draining whether it has announced that it will stop
+ * @param primary whether it reports itself as the primary of its group
+ * @param bornMillis start time of its process, milliseconds since the epoch
+ * @param coldMillis remaining time for which it is slow after its start, milliseconds
+ * @param revision store revision of the entry, which increases with every change
  */
 public record Endpoint(
         String id,
@@ -27,7 +27,7 @@
         long revision) {
 
     /**
-     * Whether connections to the other entry's process are connections to this one's.
+     * Whether both entries describe the same process, so that existing connections remain valid.
      *
      * @param other another entry with the same identifier
      */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/EndpointDirectory.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/EndpointDirectory.java
@@ -7,14 +7,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * The listed endpoints, with removals held back after an outage of the store.
+ * The endpoints listed in the store, with removals deferred after a store outage.
  *
- * <p>Entries lapse while endpoints cannot renew them, and return shortly after the store does. An entry that is missing
- * right after an outage is therefore kept for a short time.
+ * <p>Entries expire while endpoints cannot renew them, and reappear shortly after the store recovers. An entry that is
+ * missing right after an outage is therefore kept for a grace period.
  */
 public final class EndpointDirectory {
 
-    /** Time in which living endpoints renew their entries after the store's return, milliseconds, with a margin. */
+    /** Time in which running endpoints renew their entries after the store recovers, with a margin, milliseconds. */
     private static final long RENEWAL_GRACE_MILLIS = 2_500;
 
     private final LongSupplier clock;
@@ -32,15 +32,15 @@
         this.deferRemovalsUntilMillis = clock.getAsLong();
     }
 
-    /** The store has answered after an outage. */
+    /** Starts the grace period in which removals are deferred; called when the store answers again after an outage. */
     public void storeRecovered() {
         deferRemovalsUntilMillis = clock.getAsLong() + RENEWAL_GRACE_MILLIS;
     }
 
     /**
-     * Takes the whole list.
+     * Replaces all entries; the missing ones are removed, or deferred as by {@link #remove}.
      *
-     * @param listed the endpoints
+     * @param listed the endpoints by identifier
      */
     public void replaceAll(Map<String, Endpoint> listed) {
         List.copyOf(endpoints.keySet()).stream()
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Takes a new or changed entry.
+     * Adds or replaces an entry and cancels its deferred removal.
      *
      * @param endpoint the entry
      */
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Takes the removal of an entry.
+     * Removes an entry, or defers its removal until the end of the grace period.
      *
      * @param id identifier of the endpoint
      */
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Removes entries whose time has come.
+     * Removes the entries whose deferred removal is due.
      *
-     * @return whether any was removed
+     * @return whether an entry was removed
      */
     public boolean removeExpired() {
         long now = clock.getAsLong();
@@ -91,7 +91,7 @@
         return !due.isEmpty();
     }
 
-    /** The endpoints that may be used. */
+    /** Returns the endpoints that may be used, including those whose removal is deferred. */
     public Collection<Endpoint> endpoints() {
         return List.copyOf(endpoints.values());
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Route.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/catalog/Route.java
@@ -4,14 +4,14 @@
  * A database name that callers may connect to.
  *
  * @param name name of the route
- * @param database database name that callers give
- * @param group the group of endpoints that serves it
- * @param consistency what its reads must see
- * @param stalenessMillis accepted age of what a read sees, milliseconds; 0 when every commit must be seen
- * @param timeoutMillis time limit of one statement, milliseconds
+ * @param database database name that callers connect to
+ * @param group name of the database group that serves the route
+ * @param consistency which commits its reads must see
+ * @param stalenessMillis accepted staleness of reads, milliseconds; 0 if reads must see every commit
+ * @param timeoutMillis timeout of one statement, milliseconds
  * @param objectiveMillis latency objective of a whole operation, milliseconds
- * @param priority 0 for the most important
- * @param open whether callers need no key
+ * @param priority priority of its operations; 0 is the highest
+ * @param open whether callers may connect without a key
  */
 public record Route(
         String name,
@@ -27,12 +27,13 @@
     /** Checks the ranges. */
     public Route {
         if (timeoutMillis < 1 || objectiveMillis < 1 || stalenessMillis < 0) {
-            throw new IllegalArgumentException("timeout and objective of a route must be 1 ms or more and its accepted"
-                    + " age 0 or more, but are " + timeoutMillis + ", " + objectiveMillis + " and " + stalenessMillis);
+            throw new IllegalArgumentException("timeout and latency objective of a route must be at least 1 ms and its"
+                    + " accepted staleness at least 0 ms, but are " + timeoutMillis + ", " + objectiveMillis + " and "
+                    + stalenessMillis);
         }
     }
 
-    /** Whether a replica may serve the reads. */
+    /** Whether replicas may serve the reads. */
     public boolean allowsReplicaReads() {
         return consistency != Consistency.LATEST && stalenessMillis > 0;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/BorrowedLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/BorrowedLink.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import org.hyssopswitch.pool.statement.PreparedShape;
 
-/** A connection of another VM, lent for one operation. */
+/** A connection that another VM lends to this one for one operation. */
 public interface BorrowedLink extends EndpointLink {
 
     /**
-     * Has the lender give the connection session values, and prepare a statement, before the next command.
+     * Sets the session values and the prepared statement that the lender applies before the next command.
      *
-     * @param values the session's values
-     * @param shape the prepared statement to execute next
+     * @param values values of the session
+     * @param shape the prepared statement to execute next, if any
      */
     void applySession(Map<String, String> values, Option<PreparedShape> shape);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionBudget.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionBudget.java
@@ -1,24 +1,24 @@
 package org.hyssopswitch.pool.endpoint;
 
-/** How many connections this VM may hold to one endpoint, and when it may open another one. */
+/** Determines how many connections this VM may hold to one endpoint, and when it may open another one. */
 final class ConnectionBudget {
 
-    /** Pause in opening after the endpoint refused a connection, milliseconds: a few statements' time. */
+    /** Delay of the next attempt to connect after the endpoint was full, milliseconds: the time of a few statements. */
     private static final long FULL_RETRY_DELAY_MILLIS = 40;
 
-    /** Pause in opening after a connection could not be opened, milliseconds. */
+    /** Delay of the next attempt to connect after a connection could not be opened, milliseconds. */
     private static final long FAILED_RETRY_DELAY_MILLIS = 200;
 
-    /** Time after which an endpoint whose address belongs to another process is tried again, milliseconds. */
+    /** Delay of the next attempt to connect after another process answered at the address, milliseconds. */
     private static final long FOREIGN_PROCESS_RETRY_DELAY_MILLIS = 2_000;
 
-    /** Time for which no more connections than at the refusal are held, milliseconds. */
+    /** Time for which the number of connections held at a refusal is the maximum, milliseconds. */
     private static final long CAP_MILLIS = 1_000;
 
-    /** Time for which connections beyond the guaranteed share are given up at once for other VMs, milliseconds. */
+    /** Time for which connections beyond the guaranteed share are released to other VMs, milliseconds. */
     private static final long SURPLUS_RELEASE_MILLIS = 1_000;
 
-    /** Time after the last lease for which a VM keeps connections to lend, milliseconds. */
+    /** Time after the last lease request for which a VM keeps connections for lending, milliseconds. */
     private static final long LENDING_RETENTION_MILLIS = 5_000;
 
     private PoolLimits limits;
@@ -37,7 +37,7 @@
         limits = changed;
     }
 
-    /** Whether VMs borrow connections because the endpoint accepts too few. */
+    /** Whether VMs borrow connections, because the endpoint accepts too few for all of them. */
     boolean scarce() {
         return limits.scarce();
     }
@@ -50,7 +50,7 @@
         return nowMillis >= openAfterMillis;
     }
 
-    /** Connections that this VM keeps; more are opened only while all of them are lent. */
+    /** Returns the number of connections that this VM keeps; more are opened only while all of them are in use. */
     int targetSize(boolean lender, long nowMillis) {
         if (stopping) {
             return 0;
@@ -61,7 +61,7 @@
         return nowMillis < guaranteedOnlyUntilMillis ? limits.guaranteed() : limits.target();
     }
 
-    /** Connections that this VM holds at most. */
+    /** Returns the maximum number of connections that this VM holds. */
     int maxSize(long nowMillis) {
         return nowMillis < cappedUntilMillis ? cap : limits.endpointMax();
     }
@@ -70,7 +70,7 @@
         lendingUntilMillis = nowMillis + LENDING_RETENTION_MILLIS;
     }
 
-    /** Keeps no connections from now on: the VM stops, and others need them. */
+    /** Sets the target size to 0, because this VM stops and other VMs need the connections. */
     void stop() {
         stopping = true;
     }
@@ -79,14 +79,14 @@
         guaranteedOnlyUntilMillis = nowMillis + SURPLUS_RELEASE_MILLIS;
     }
 
-    /** The endpoint refused a connection because it has enough. */
+    /** Records that the endpoint refused a connection because it accepts no more. */
     void recordFull(int openConnections, long nowMillis) {
         openAfterMillis = nowMillis + FULL_RETRY_DELAY_MILLIS;
         cappedUntilMillis = nowMillis + CAP_MILLIS;
         cap = Math.max(1, openConnections);
     }
 
-    /** Another process listens at the endpoint's address. */
+    /** Records that another process answered at the endpoint's address. */
     void recordForeignProcess(long nowMillis) {
         openAfterMillis = nowMillis + FOREIGN_PROCESS_RETRY_DELAY_MILLIS;
     }
@@ -95,7 +95,7 @@
         openAfterMillis = nowMillis + FAILED_RETRY_DELAY_MILLIS;
     }
 
-    /** The endpoint's process is another one now. */
+    /** Permits opening at once, because the endpoint's process has been replaced. */
     void resetOpenDelay(long nowMillis) {
         openAfterMillis = nowMillis;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequest.java
@@ -5,60 +5,60 @@
 import org.hyssopswitch.pool.catalog.Account;
 import org.hyssopswitch.pool.statement.ErrorCode;
 
-/** A statement or transaction that waits for a connection to an endpoint. */
+/** A request for a connection to an endpoint, made by a statement, a transaction, a borrower or the VM itself. */
 public interface ConnectionRequest {
 
-    /** The client account that it runs for. */
+    /** Returns the client account that it is made for. */
     Account account();
 
-    /** 0 for the most important. */
+    /** Returns the priority; lower values are served first, and statements have 0 or more. */
     int priority();
 
-    /** Whether only the primary may run it. */
+    /** Whether only the primary may serve it. */
     boolean primaryOnly();
 
-    /** The only endpoint that may run it; no log position matters to it, and its connection is never a borrowed one. */
+    /** Returns the only endpoint that may serve it, if any; no floor applies then, and no connection is borrowed. */
     default Option<String> pinnedTo() {
         return Option.none();
     }
 
-    /** Whether a connection of any client account serves it. */
+    /** Whether a connection of any client account may serve it. */
     default boolean acceptsAnyAccount() {
         return false;
     }
 
-    /** Accepted age of what it reads, milliseconds. */
+    /** Returns the accepted staleness of its reads, milliseconds. */
     long stalenessMillis();
 
-    /** Log position that it must see in any case. */
+    /** Returns the session's floor, the log position that its reads must see regardless of staleness. */
     LogPosition sessionFloor();
 
-    /** Time of the monotonic clock, milliseconds, after which it is refused if no connection was assigned. */
+    /** Returns the time by which a connection must be assigned, or it is refused; monotonic clock, milliseconds. */
     long assignmentDeadlineMillis();
 
-    /** Time for which it waits when no endpoint could run it, milliseconds. */
+    /** Returns the time after the loss of the primary for which it waits for a new one, milliseconds. */
     long unavailableWaitMillis();
 
     /**
-     * Whether an endpoint has failed to run it before.
+     * Whether an endpoint must not serve it, because it failed to do so before.
      *
      * @param endpointId the endpoint
      */
     boolean excludes(String endpointId);
 
     /**
-     * A connection is assigned to the work, which must release or discard it.
+     * A connection was assigned to the request, which must release or discard it.
      *
      * @param connection the connection
-     * @param floor log position that reads must ask for; nothing when the endpoint must prove that it is the primary
+     * @param floor lowest log position that reads must see; none if the endpoint must confirm that it is the primary
      */
     void assigned(PooledConnection connection, Option<LogPosition> floor);
 
     /**
-     * The work was not started and will not be.
+     * The request was refused; no connection will be assigned.
      *
-     * @param code why
-     * @param reason one line for people
+     * @param code the cause
+     * @param reason one-line message for the caller
      */
     void refused(ErrorCode code, String reason);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Work that waits for a connection: the most important first, equally important work in the order of its arrival. */
+/** Requests that wait for a connection, ordered by priority and then by arrival. */
 final class ConnectionRequestQueue {
 
     private final List<ConnectionRequest> waiting = new ArrayList<>();
@@ -20,7 +20,7 @@
         enqueuedMillis.put(request, nowMillis);
     }
 
-    /** Removes work and returns how long it has waited, milliseconds. */
+    /** Removes a request and returns the time for which it has waited, milliseconds. */
     long remove(ConnectionRequest request, long nowMillis) {
         waiting.remove(request);
         return nowMillis - enqueuedMillis.remove(request);
@@ -30,7 +30,7 @@
         return enqueuedMillis.containsKey(request);
     }
 
-    /** All work, in the order in which it is served. */
+    /** Returns all requests in the order in which they are served. */
     List<ConnectionRequest> all() {
         return List.copyOf(waiting);
     }
@@ -39,7 +39,7 @@
         return waiting.size();
     }
 
-    /** Removes and returns all work. */
+    /** Removes and returns all requests. */
     List<ConnectionRequest> drain() {
         List<ConnectionRequest> result = all();
         waiting.clear();
@@ -47,7 +47,7 @@
         return result;
     }
 
-    /** Removes and returns the work whose time to be assigned has passed. */
+    /** Removes and returns the requests whose assignment deadline has passed. */
     List<ConnectionRequest> removeExpired(long nowMillis) {
         List<ConnectionRequest> expired = waiting.stream()
                 .filter(request -> nowMillis >= request.assignmentDeadlineMillis())
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
@@ -8,7 +8,7 @@
 import org.hyssopswitch.pool.statement.ErrorCode;
 import org.hyssopswitch.pool.statement.Reply;
 
-/** A command of the VM's own to one endpoint; it goes before all statements. */
+/** A command that the VM itself sends to one endpoint; it has a higher priority than all statements. */
 final class ControlCommandRequest implements ConnectionRequest, ReplyHandler {
 
     private static final int HIGHEST_PRIORITY = -1;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroup.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroup.java
@@ -20,37 +20,37 @@
 import org.hyssopswitch.pool.statement.ErrorCode;
 import org.hyssopswitch.pool.statement.Reply;
 
-/** The endpoints of one database group as this VM sees them; chooses the endpoint for each statement. */
+/** The endpoints of one database group as seen by this VM; selects the endpoint for each connection request. */
 public final class DatabaseGroup implements PoolCallbacks {
 
-    /** Cost of a byte-carrying hop to another data centre, as milliseconds of waiting. */
+    /** Cost of serving a request in another data centre, in milliseconds of waiting time. */
     private static final double REMOTE_PENALTY_MILLIS = 8;
 
-    /** Preference of replicas for reads, which keeps the primary free for writes, as milliseconds of waiting. */
+    /** Cost of reading at the primary, which is kept free for writes, in milliseconds of waiting time. */
     private static final double PRIMARY_READ_PENALTY_MILLIS = 6;
 
-    /** Milliseconds by which a floor is taken younger than permitted: forwarding and the endpoint's queue. */
+    /** Part of the accepted staleness that is reserved for forwarding and the endpoint's queue, milliseconds. */
     private static final long STALENESS_MARGIN_MILLIS = 250;
 
-    /** Age of the latest position of the primary from which on a new one is asked for, milliseconds. */
+    /** Age of the latest sample of the primary's log position after which a new one is requested, milliseconds. */
     private static final long SAMPLE_INTERVAL_MILLIS = 400;
 
-    /** The same where a lender asks for many VMs, milliseconds: within the least accepted age seen on routes, 1.5 s. */
+    /** The same where a lender samples for many VMs, milliseconds; below 1.5 s, the lowest staleness seen on routes. */
     private static final long SHARED_SAMPLE_INTERVAL_MILLIS = 900;
 
-    /** Time for which reads keep the positions of the primary up to date, milliseconds. */
+    /** Time after the last read for which the log position of the primary is sampled, milliseconds. */
     private static final long SAMPLING_AFTER_READ_MILLIS = 3_000;
 
-    /** Time between two ticks from which on this VM counts as having been paused, milliseconds. */
+    /** Time between two ticks above which this VM is considered to have been paused, milliseconds. */
     private static final long PAUSE_THRESHOLD_MILLIS = 200;
 
-    /** Period in which endpoints are asked for the primary while none is usable, milliseconds. */
+    /** Interval at which endpoints are queried for the primary role while no primary is usable, milliseconds. */
     private static final long PRIMARY_SEARCH_INTERVAL_MILLIS = 150;
 
-    /** The same where lenders are asked, milliseconds. */
+    /** The same where lenders are queried, milliseconds. */
     private static final long SHARED_PRIMARY_SEARCH_INTERVAL_MILLIS = 400;
 
-    /** Period in which the use of connections is logged, milliseconds. */
+    /** Interval at which the use of connections is logged, milliseconds. */
     private static final long REPORT_INTERVAL_MILLIS = 10_000;
 
     private static final Logger LOG = LogManager.getLogger(DatabaseGroup.class);
@@ -92,28 +92,28 @@
         this.lastSearchMillis = lastReportMillis;
     }
 
-    /** Name of the group. */
+    /** Returns the name of the group. */
     public String name() {
         return group.name();
     }
 
-    /** Its declaration. */
+    /** Returns the declaration of the group. */
     public GroupDeclaration declaration() {
         return group;
     }
 
-    /** The endpoint taken for the primary. */
+    /** Returns the endpoint that is considered the primary. */
     public Option<Endpoint> primary() {
         return primaryId.flatMap(id -> Option.of(pools.get(id))).map(EndpointPool::endpoint);
     }
 
-    /** The listed endpoints. */
+    /** Returns the listed endpoints. */
     public List<Endpoint> endpoints() {
         return pools.values().stream().map(EndpointPool::endpoint).toList();
     }
 
     /**
-     * Whether this VM reaches an endpoint.
+     * Whether an endpoint is reachable from this VM.
      *
      * @param endpointId the endpoint
      */
@@ -122,15 +122,15 @@
         return pool != null && pool.reachable();
     }
 
-    /** The latest term that a primary has proven; -1 before the first proof. */
+    /** Returns the latest term confirmed by a primary; -1 before the first confirmation. */
     public long term() {
         return samples.term();
     }
 
     /**
-     * Has a statement or transaction run, or refuses it.
+     * Queues a request at the selected endpoint, or until a primary is available, or refuses it.
      *
-     * @param request the work
+     * @param request the request
      */
     public void submit(ConnectionRequest request) {
         if (request.pinnedTo().isDefined()) {
@@ -149,11 +149,11 @@
     }
 
     /**
-     * Queues work of another VM for a connection that it borrows.
+     * Queues the request of another VM that borrows a connection.
      *
      * @param endpointId the endpoint
-     * @param request the work, pinned to the endpoint
-     * @return why no connection can be lent, or nothing
+     * @param request the request, pinned to the endpoint
+     * @return the reason if no connection can be lent
      */
     public Option<LeaseEndReason> lend(String endpointId, ConnectionRequest request) {
         Option<LeaseEndReason> refusal = refusal(endpointId);
@@ -164,7 +164,7 @@
     }
 
     /**
-     * Why no connection to an endpoint can be lent; nothing when one can.
+     * Returns the reason if no connection to an endpoint can be lent.
      *
      * @param endpointId the endpoint
      */
@@ -180,10 +180,10 @@
     }
 
     /**
-     * Asks an endpoint on behalf of another VM whether it is the primary.
+     * Queries, on behalf of another VM, whether an endpoint is the primary.
      *
      * @param endpointId the endpoint
-     * @param listener told the answer if there is one
+     * @param listener notified of the answer, if there is one
      */
     public void queryPosition(String endpointId, PositionListener listener) {
         Option<EndpointPool> pool = Option.of(pools.get(endpointId));
@@ -195,23 +195,23 @@
     }
 
     /**
-     * Asks an endpoint for its status.
+     * Queries the replication status of an endpoint.
      *
      * @param endpointId the endpoint
-     * @param maxWaitMillis longest wait for a connection, milliseconds
-     * @param callback takes the status, or nothing when the endpoint gave none
+     * @param maxWaitMillis maximum time to wait for a connection, milliseconds
+     * @param callback receives the status, or nothing if the endpoint returned none
      */
     public void queryStatus(String endpointId, long maxWaitMillis, Consumer<Option<ReplicationStatus>> callback) {
         sendControl(endpointId, new EndpointCommand.QueryStatus(), maxWaitMillis, callback);
     }
 
     /**
-     * Makes a primary a replica.
+     * Demotes a primary to a replica.
      *
      * @param endpointId the endpoint
-     * @param term a term above the primary's
-     * @param maxWaitMillis longest wait for a connection, milliseconds
-     * @param callback takes the status afterwards, or nothing when the endpoint gave none
+     * @param term a term above that of the primary
+     * @param maxWaitMillis maximum time to wait for a connection, milliseconds
+     * @param callback receives the status afterwards, or nothing if the endpoint returned none
      */
     public void stepDown(
             String endpointId, long term, long maxWaitMillis, Consumer<Option<ReplicationStatus>> callback) {
@@ -219,7 +219,7 @@
     }
 
     /**
-     * Closes connections to an endpoint beyond this VM's guaranteed share as soon as they are unused.
+     * Closes connections to an endpoint beyond this VM's guaranteed share as soon as they are idle.
      *
      * @param endpointId the endpoint
      */
@@ -228,10 +228,10 @@
     }
 
     /**
-     * Opens a connection ahead of work that is about to come, where that work would be placed now.
+     * Opens a connection for an expected request, at the endpoint that would be selected for it now.
      *
-     * @param request the work; it is not submitted
-     * @param evict whether an unused connection of another account may be closed for it
+     * @param request the expected request; it is not submitted
+     * @param evict whether an idle connection of another account may be closed for it
      */
     public void prefetch(ConnectionRequest request, boolean evict) {
         Option<EndpointPool> pool = request.primaryOnly() ? primaryPool() : selectReadPool(request);
@@ -347,7 +347,7 @@
         }
     }
 
-    /** Ages of positions are unknown once the clock may have stood still. */
+    /** Discards the samples after a suspension, because their ages are no longer known. */
     private void discardSamplesAfterSuspension() {
         if (suspensions.detectSuspension()) {
             LOG.warn("event=positions_forgotten group={} cause=suspension_or_clock_step term={}", name(), term());
@@ -355,13 +355,13 @@
         }
     }
 
-    /** Keeps no unused connections from now on. */
+    /** Keeps no idle connections from now on. */
     void stop() {
         stopping = true;
         pools.values().forEach(EndpointPool::stop);
     }
 
-    /** Asks all other endpoints whether they lead: the store may be out of reach, or slower than the endpoints. */
+    /** Queries all other endpoints for the primary role, because the store may be unreachable or out of date. */
     private void findPrimary(long now) {
         if (now - lastSearchMillis
                 >= (scarce() ? SHARED_PRIMARY_SEARCH_INTERVAL_MILLIS : PRIMARY_SEARCH_INTERVAL_MILLIS)) {
@@ -374,7 +374,7 @@
         }
     }
 
-    /** Whether connections are too few for all VMs, so that questions to endpoints go through lenders. */
+    /** Whether connections are too few for all VMs, so that endpoints are queried through lenders. */
     private boolean scarce() {
         return PoolLimits.of(group.maxConnections(), vmCount, 0, accountCount).scarce();
     }
@@ -422,7 +422,7 @@
         waiting.forEach(this::submit);
     }
 
-    /** The entry that most recently claimed to be the primary, unless the claim is older than one disproved. */
+    /** Returns the entry that claimed last to be the primary, unless the claim is older than one already evaluated. */
     private Option<Endpoint> listedPrimary() {
         return Option.ofOptional(pools.values().stream()
                 .map(EndpointPool::endpoint)
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroups.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/DatabaseGroups.java
@@ -9,23 +9,23 @@
 import org.hyssopswitch.pool.catalog.Catalog;
 import org.hyssopswitch.pool.catalog.Endpoint;
 
-/** All database groups of the configuration in force. */
+/** The database groups of the configuration in force. */
 public final class DatabaseGroups {
 
     private final GroupContext context;
     private final Map<String, DatabaseGroup> groups = new HashMap<>();
 
     /**
-     * Creates an empty table.
+     * Creates an empty set of groups.
      *
-     * @param context what all groups use
+     * @param context dependencies that all groups share
      */
     public DatabaseGroups(GroupContext context) {
         this.context = context;
     }
 
     /**
-     * Takes a new configuration or list of endpoints.
+     * Applies a new configuration or list of endpoints.
      *
      * @param catalog the configuration in force
      * @param endpoints the endpoints that may be used
@@ -49,25 +49,25 @@
     }
 
     /**
-     * Finds a group.
+     * Returns a group, if it is in the configuration.
      *
-     * @param name its name
+     * @param name name of the group
      */
     public Option<DatabaseGroup> find(String name) {
         return Option.of(groups.get(name));
     }
 
-    /** All groups. */
+    /** Returns all groups. */
     public Collection<DatabaseGroup> all() {
         return List.copyOf(groups.values());
     }
 
-    /** Keeps no unused connections from now on, because the VM stops and others need them. */
+    /** Keeps no idle connections from now on, because this VM stops and other VMs need them. */
     public void stop() {
         all().forEach(DatabaseGroup::stop);
     }
 
-    /** Ends what has waited too long and keeps connections in order; called every few milliseconds. */
+    /** Refuses expired requests and maintains the connections of all groups; called every few milliseconds. */
     public void tick() {
         all().forEach(DatabaseGroup::tick);
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointConnector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointConnector.java
@@ -8,11 +8,11 @@
 public interface EndpointConnector {
 
     /**
-     * Starts to open a connection; it fails unless the endpoint is the expected process of the expected group.
+     * Starts opening a connection, which fails unless the endpoint is the expected process of the expected group.
      *
      * @param endpoint the endpoint
      * @param account the client account that the connection serves
-     * @param listener told, on the decision thread, what arrives
+     * @param listener notified on the decision thread of what the connection receives
      */
     EndpointLink open(Endpoint endpoint, Account account, EndpointLink.Listener listener);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointLink.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointLink.java
@@ -11,16 +11,16 @@
 public interface EndpointLink {
 
     /**
-     * Sends commands; each is answered by one reply, in order.
+     * Sends commands; each receives one reply, in order.
      *
      * @param commands the commands
      */
     void send(List<EndpointCommand> commands);
 
-    /** Closes the connection; the listener is not told. */
+    /** Closes the connection without notifying the listener. */
     void close();
 
-    /** Takes what arrives on a connection. */
+    /** Receives the events of a connection. */
     interface Listener {
 
         /**
@@ -33,14 +33,14 @@
         /**
          * The endpoint refused the connection and is about to close it.
          *
-         * @param code why
+         * @param code the cause
          */
         void refused(ErrorCode code);
 
         /**
          * A command was answered.
          *
-         * @param reply the answer
+         * @param reply the reply
          */
         void replied(Reply reply);
 
@@ -48,9 +48,9 @@
         void closed();
 
         /**
-         * The connection was borrowed, and the lender does not lend it or no longer.
+         * The lender refused or ended the lease of a borrowed connection.
          *
-         * @param reason why
+         * @param reason the reason
          */
         void leaseEnded(LeaseEndReason reason);
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
@@ -20,36 +20,37 @@
 import org.hyssopswitch.pool.statement.Reply;
 
 /**
- * The connections of this VM to one endpoint and the work that waits for them.
+ * The connections of this VM to one endpoint and the requests that wait for them.
  *
- * <p>A connection serves one client account. The VM keeps a number of connections and gives an unused one up for another
- * account first; beyond that number, connections are opened only while all are lent, and closed soon after their use, so
- * that other VMs find room. Where an endpoint accepts too few connections for all VMs, one VM lends them to the others.
+ * <p>A connection serves one client account. Up to a target size the VM keeps its connections; at that size, an idle
+ * connection of another account is closed before a further one is opened. Beyond the target size, connections are
+ * opened only while all others are in use, and closed soon after their use to leave room for other VMs. Where an
+ * endpoint accepts too few connections for all VMs, one VM lends them to the others.
  */
 final class EndpointPool {
 
-    /** Time for which an unused connection beyond those that are kept stays open, milliseconds. */
+    /** Time for which an idle connection beyond the target size stays open, milliseconds. */
     private static final long SURPLUS_IDLE_TIMEOUT_MILLIS = 100;
 
-    /** Time for which an unused connection stays open, milliseconds; endpoints close idle ones after a minute. */
+    /** Time for which an idle connection stays open, milliseconds; endpoints close idle ones after a minute. */
     private static final long IDLE_TIMEOUT_MILLIS = 40_000;
 
-    /** Silence with an unanswered question after which an endpoint counts as unreachable, milliseconds. */
+    /** Time without contact, with a command unanswered, after which an endpoint is unreachable, milliseconds. */
     private static final long UNREACHABLE_AFTER_MILLIS = 500;
 
-    /** Silence after which the endpoint is asked for a sign of life, milliseconds. */
+    /** Time without contact, with a command unanswered, after which the endpoint is probed, milliseconds. */
     private static final long PROBE_AFTER_MILLIS = 150;
 
-    /** Silence after which no new work is given to the endpoint, milliseconds. */
+    /** Time without contact, with a command unanswered, after which the endpoint gets no new requests, milliseconds. */
     private static final long SUSPECT_MILLIS = 300;
 
-    /** Time after the announcement of its stop until which an endpoint may get work, milliseconds. */
+    /** Time for which an endpoint still gets requests after it has announced that it stops, milliseconds. */
     private static final long DRAINING_USABLE_MILLIS = 5_500;
 
-    /** Part of an opening's time that counts against an endpoint: the connection serves later statements too. */
+    /** Fraction of the time to open a connection that is charged to one request; later ones use the connection too. */
     private static final double OPEN_TIME_WEIGHT = 0.3;
 
-    /** Part of an endpoint's remaining cold time that counts against it. */
+    /** Fraction of an endpoint's remaining cold time that is charged to a request. */
     private static final double COLD_TIME_WEIGHT = 0.01;
 
     private static final Logger LOG = LogManager.getLogger(EndpointPool.class);
@@ -102,7 +103,7 @@
         return reachable;
     }
 
-    /** Takes a changed entry; connections to an earlier process are closed. */
+    /** Applies a changed entry; connections to an earlier process are closed. */
     void update(Endpoint changed, PoolLimits changedLimits) {
         boolean same = endpoint.isSameProcess(changed);
         endpoint = changed;
@@ -115,19 +116,19 @@
         }
     }
 
-    /** Whether new work may be given to the endpoint. */
+    /** Whether the endpoint may get new requests. */
     boolean usable() {
         return reachable
                 && !isSuspect()
                 && !drainingSinceMillis.exists(since -> nowMillis() - since > DRAINING_USABLE_MILLIS);
     }
 
-    /** Whether the endpoint has been silent for a while. */
+    /** Whether the endpoint is suspected to be unavailable, because it has not answered for a while. */
     boolean isSuspect() {
         return suspect || nowMillis() < suspectUntilMillis;
     }
 
-    /** Expected milliseconds until a new statement of an account would be answered. */
+    /** Returns the expected time until a new statement of an account would be answered, milliseconds. */
     double expectedMillis(Account account) {
         double cold = endpoint.coldMillis() * COLD_TIME_WEIGHT;
         double service = estimates.serviceMillis();
@@ -147,13 +148,13 @@
         dispatch();
     }
 
-    /** Queues work of another VM, for which connections are kept from now on. */
+    /** Queues the request of another VM and keeps connections for lending from now on. */
     void lend(ConnectionRequest request) {
         budget.recordLending(nowMillis());
         offer(request);
     }
 
-    /** Opens a connection that work of an account is about to need, unless one is at hand or on its way. */
+    /** Opens a connection that an account is about to need, unless one is idle or being opened. */
     void prefetch(Account account, boolean evict) {
         long now = nowMillis();
         boolean ready = direct().anyMatch(c -> (c.idle() || c.opening()) && c.serves(account));
@@ -165,12 +166,12 @@
         }
     }
 
-    /** Takes back all work that waits. */
+    /** Removes and returns all waiting requests. */
     List<ConnectionRequest> drainWaiting() {
         return waiting.drain();
     }
 
-    /** Logs what happened since the last report. */
+    /** Logs the use of connections since the last report. */
     void report() {
         LOG.info(
                 "event=pool_report endpoint={} group={} connections={} idle={} borrowed={} waiting={} service_ms={} {}",
@@ -184,7 +185,7 @@
                 counters.reportAndReset());
     }
 
-    /** Closes connections that are not lent. */
+    /** Closes all idle connections. */
     void closeIdle() {
         connections.stream().filter(PooledConnection::idle).toList().forEach(PooledConnection::discard);
     }
@@ -203,19 +204,19 @@
         dispatch();
     }
 
-    /** Asks whether the endpoint is the primary and for its position. */
+    /** Queries whether the endpoint is the primary and at which log position, through the lender if there is one. */
     void samplePrimary() {
         if (!isBorrower() || !leases.queryPosition(endpoint, new LenderPositionListener(nowMillis()))) {
             sampler.sample();
         }
     }
 
-    /** Answers another VM's question whether the endpoint is the primary. */
+    /** Queries, on behalf of another VM, whether the endpoint is the primary. */
     void queryPosition(PositionListener listener) {
         sampler.query(listener);
     }
 
-    /** A connection that is not lent and leads straight to the endpoint; one is opened when there is none. */
+    /** Returns an idle direct connection; if there is none, starts opening one. */
     Option<PooledConnection> findIdleOrOpen() {
         Option<PooledConnection> idle =
                 Option.ofOptional(direct().filter(PooledConnection::idle).findFirst());
@@ -225,7 +226,7 @@
         return idle;
     }
 
-    /** Assigns connections to waiting work and opens what is missing. */
+    /** Assigns connections to waiting requests, opens or borrows missing ones, and returns unused leases. */
     void dispatch() {
         if (dispatching) {
             return;
@@ -251,7 +252,7 @@
         markReachable();
     }
 
-    /** This VM did not run for a while, so the silence of endpoints says nothing. */
+    /** Restarts the timeouts after a pause of this VM, during which it could not receive anything. */
     void resetLastContact() {
         lastContactMillis = nowMillis();
     }
@@ -290,12 +291,12 @@
             budget.recordOpenFailure(nowMillis());
             markUnreachable("connect_failed");
         } else if (reachable) {
-            // A crash breaks all connections; a new one tells it from the loss of single ones.
+            // A new connection distinguishes a crash, which breaks all connections, from the loss of a single one.
             probe(nowMillis());
         }
     }
 
-    /** A connection of another VM was not lent, or no longer. */
+    /** Handles a lease that was refused or ended by the lender. */
     void leaseEnded(Account account, boolean opening, LeaseEndReason reason) {
         switch (reason) {
             case OVERLOADED -> {
@@ -312,18 +313,18 @@
         }
     }
 
-    /** Sends a command of the VM's own; the answer is missing when no connection is available in time. */
+    /** Sends a command of the VM itself; the callback receives nothing if it was not answered. */
     void sendControl(EndpointCommand command, long maxWaitMillis, Consumer<Option<Reply>> callback) {
         offer(new ControlCommandRequest(
                 endpoint.id(), command, lastOpenedAccount, nowMillis() + maxWaitMillis, callback));
     }
 
-    /** Closes connections as soon as they are unused, for the VMs that take over. */
+    /** Closes connections as soon as they are idle, because this VM stops and other VMs need them. */
     void stop() {
         budget.stop();
     }
 
-    /** Closes what this VM holds beyond its guaranteed share and does not use. */
+    /** Closes idle connections beyond the guaranteed share for a while, because another VM lacks connections. */
     void releaseSurplus() {
         budget.limitToGuaranteed(nowMillis());
     }
@@ -336,7 +337,7 @@
         return (int) direct().count();
     }
 
-    /** Whether this VM borrows connections to the endpoint from another one. */
+    /** Whether this VM borrows connections to the endpoint from another VM. */
     private boolean isBorrower() {
         return budget.scarce() && leases.role(endpoint) == LeaseRole.BORROWER;
     }
@@ -396,7 +397,7 @@
         return lent.isDefined();
     }
 
-    /** Returns borrowed connections that are not in use, and gives up requests that no work waits for. */
+    /** Returns idle borrowed connections and cancels lease requests that no waiting request needs. */
     private void returnUnusedLeases() {
         if (directCount() == connections.size()) {
             return;
@@ -426,7 +427,7 @@
         }
     }
 
-    /** Makes room for one more connection, if need be by closing an unused one of another account. */
+    /** Makes room for one more connection, if necessary by closing the longest idle one; false if there is no room. */
     private boolean makeRoom(long now) {
         if (directCount() < targetSize(now)) {
             return true;
@@ -441,7 +442,7 @@
         return directCount() < budget.maxSize(now);
     }
 
-    /** Finds out whether the endpoint accepts connections. */
+    /** Opens a connection to check whether the endpoint accepts any, unless one is already being opened. */
     private void probe(long now) {
         boolean opening = direct().anyMatch(PooledConnection::opening);
         if (!opening && budget.mayOpen(now)) {
@@ -511,7 +512,7 @@
         }
     }
 
-    /** Connections that work needs: of which client account, and whether they must lead straight to the endpoint. */
+    /** The connections needed by waiting requests: their client account, and whether they must be direct. */
     private record Demand(String account, boolean direct) {}
 
     private final class LenderPositionListener implements PositionListener {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/GroupContext.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/GroupContext.java
@@ -4,15 +4,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * What all database groups of a VM use.
+ * The dependencies that all database groups of a VM share.
  *
  * @param dataCentre data centre of this VM
  * @param connector opens connections
- * @param leases connections that other VMs lend
- * @param decoder reads answers to status queries
- * @param shortageListener told group and endpoint when an endpoint refuses what the VM's guaranteed share includes
- * @param clock milliseconds of the monotonic clock
- * @param wallClock milliseconds since the epoch, which may jump
+ * @param leases source of connections that other VMs lend
+ * @param decoder decodes the replies to status queries
+ * @param shortageListener receives group and endpoint if an endpoint refuses a connection of the VM's guaranteed share
+ * @param clock monotonic clock, milliseconds
+ * @param wallClock wall clock, milliseconds since the epoch; it may be stepped
  */
 public record GroupContext(
         String dataCentre,
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LatencyEstimates.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LatencyEstimates.java
@@ -1,6 +1,6 @@
 package org.hyssopswitch.pool.endpoint;
 
-/** Smoothed times that an endpoint and its lender take. */
+/** Exponentially smoothed latencies of an endpoint and of its lender, milliseconds. */
 final class LatencyEstimates {
 
     private static final double SMOOTHING_FACTOR = 0.1;
@@ -8,7 +8,7 @@
     private static final double INITIAL_OPEN_MILLIS = 15;
     private static final double INITIAL_LEASE_MILLIS = 3;
 
-    /** Time in which an estimate of a lease falls to a third without new ones, so that its endpoint is tried again. */
+    /** Time in which the lease estimate decays to about a third without leases, so that the endpoint is tried again. */
     private static final double LEASE_DECAY_MILLIS = 500;
 
     private double serviceMillis = INITIAL_SERVICE_MILLIS;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseEndReason.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseEndReason.java
@@ -1,20 +1,20 @@
 package org.hyssopswitch.pool.endpoint;
 
-/** Why a VM does not lend a connection, or lends it no longer. */
+/** The reason why a lender refuses or ends the lease of a connection. */
 public enum LeaseEndReason {
 
-    /** More work waits for the endpoint than can be served in time. */
+    /** More requests wait for the endpoint than can be served in time. */
     OVERLOADED,
 
-    /** The endpoint has been silent for a while. */
+    /** The endpoint is suspected to be unavailable, because it has not answered for a while. */
     SUSPECT,
 
-    /** The lender does not reach the endpoint. */
+    /** The endpoint is unreachable from the lender. */
     UNREACHABLE,
 
-    /** The lender stops, does not know the endpoint, or does not answer. */
+    /** The lender is stopping, has no such endpoint, or does not answer. */
     NO_LENDER,
 
-    /** The connection broke. */
+    /** The connection was lost. */
     BROKEN
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseRole.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseRole.java
@@ -1,14 +1,14 @@
 package org.hyssopswitch.pool.endpoint;
 
-/** What a VM does with the connections of an endpoint that accepts too few for all VMs. */
+/** The role of a VM for an endpoint that accepts too few connections for all VMs. */
 public enum LeaseRole {
 
-    /** It lends its connections to the other VMs. */
+    /** The VM lends its connections to other VMs. */
     LENDER,
 
-    /** It borrows connections of another VM. */
+    /** The VM borrows connections from another VM. */
     BORROWER,
 
-    /** It connects for itself, because no VM lends. */
+    /** The VM opens its own connections, because no VM lends any. */
     DIRECT
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseSource.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/LeaseSource.java
@@ -5,14 +5,14 @@
 import org.hyssopswitch.pool.catalog.Endpoint;
 
 /**
- * Connections that other VMs lend.
+ * Source of connections that other VMs lend.
  *
- * <p>Answers a fleet whose VMs outnumber an endpoint's connections: without it, each operation opens a connection of
- * its own, which costs the endpoint more than the operation.
+ * <p>Serves a fleet whose VMs outnumber an endpoint's connections. Without leases, each operation would open a
+ * connection of its own, which costs the endpoint more than the operation.
  */
 public interface LeaseSource {
 
-    /** Lends nothing. */
+    /** A source without lenders. */
     LeaseSource NONE = new LeaseSource() {
         @Override
         public LeaseRole role(Endpoint endpoint) {
@@ -32,31 +32,31 @@
     };
 
     /**
-     * What this VM does at the moment.
+     * Returns this VM's current role for an endpoint.
      *
      * @param endpoint the endpoint
      */
     LeaseRole role(Endpoint endpoint);
 
     /**
-     * Asks for a connection; the listener is told once it is lent.
+     * Requests a connection; the listener is notified once it is lent.
      *
      * @param endpoint the endpoint
      * @param account the client account that the connection serves
-     * @param priority 0 for the most important
-     * @param maxWaitMillis milliseconds after which it is no longer needed
-     * @param listener told, on the decision thread, what arrives
-     * @return nothing when no other VM is to be asked
+     * @param priority priority of the request; 0 is the highest
+     * @param maxWaitMillis time after which the connection is no longer needed, milliseconds
+     * @param listener notified on the decision thread of what the connection receives
+     * @return the connection, or nothing if there is no lender
      */
     Option<BorrowedLink> borrow(
             Endpoint endpoint, Account account, int priority, long maxWaitMillis, EndpointLink.Listener listener);
 
     /**
-     * Asks the lender whether an endpoint is the primary.
+     * Queries the lender whether an endpoint is the primary.
      *
      * @param endpoint the endpoint
-     * @param listener told the answer if one arrives
-     * @return false when no other VM is to be asked
+     * @param listener notified of the answer, if there is one
+     * @return whether there is a lender to query
      */
     boolean queryPosition(Endpoint endpoint, PositionListener listener);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCallbacks.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCallbacks.java
@@ -3,27 +3,27 @@
 import io.vavr.control.Option;
 import org.hyssopswitch.core.position.LogPosition;
 
-/** What a pool learns that concerns its whole group. */
+/** Callbacks of a connection pool into its database group. */
 interface PoolCallbacks {
 
-    /** An endpoint answered what only a primary answers. */
+    /** An endpoint confirmed at a log position that it is the primary. */
     void primaryConfirmed(String endpointId, long askedMillis, LogPosition position);
 
-    /** An endpoint refused what only a primary accepts. */
+    /** An endpoint refused a command because it is not the primary. */
     void notPrimary(String endpointId);
 
-    /** An endpoint began or ceased to be unreachable. */
+    /** An endpoint became reachable or unreachable. */
     void reachabilityChanged(String endpointId, boolean reachable);
 
-    /** An endpoint refused a connection that this VM's guaranteed share includes. */
+    /** An endpoint refused a connection within this VM's guaranteed share. */
     void connectionShortage(String endpointId);
 
-    /** Whether an endpoint is taken for the primary. */
+    /** Whether an endpoint is considered the primary. */
     boolean isPrimary(String endpointId);
 
-    /** The position that a read must ask for; nothing when no recent enough position of the primary is known. */
+    /** Returns the floor of a read, or nothing if no sample of the primary's log position is recent enough. */
     Option<LogPosition> readFloor(ConnectionRequest request);
 
-    /** Work could not be run by this endpoint and needs another one. */
+    /** Submits a request again that this endpoint cannot serve. */
     void requeue(ConnectionRequest request);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCounters.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PoolCounters.java
@@ -1,6 +1,6 @@
 package org.hyssopswitch.pool.endpoint;
 
-/** What happened at one endpoint since the counters were last read. */
+/** Counters of the use of connections to one endpoint since the last report. */
 final class PoolCounters {
 
     private long assigned;
@@ -35,7 +35,7 @@
         evicted++;
     }
 
-    /** Writes the counters as fields of a log line and starts again at zero. */
+    /** Returns the counters as fields of a log line and resets them. */
     String reportAndReset() {
         String report = "assigned=" + assigned + " wait_ms_mean=" + mean(waitedMillis, assigned) + " opened=" + opened
                 + " open_ms_mean=" + mean(openMillis, opened) + " leased=" + leased + " lease_ms_mean="
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
@@ -18,7 +18,7 @@
 import org.hyssopswitch.pool.statement.Reply;
 import org.hyssopswitch.pool.statement.TransactionStatus;
 
-/** A connection to an endpoint for one client account, lent to one session at a time. */
+/** A connection to an endpoint for one client account, used by one connection request at a time. */
 public final class PooledConnection implements EndpointLink.Listener {
 
     private final EndpointPool pool;
@@ -37,16 +37,16 @@
         this.stateSinceMillis = nowMillis;
     }
 
-    /** Identifier of the endpoint. */
+    /** Returns the identifier of the endpoint. */
     public String endpointId() {
         return pool.endpoint().id();
     }
 
     /**
-     * Gives the connection the values of a session and prepares what the next statement executes.
+     * Applies the values of a session to the connection and prepares the statement that is executed next.
      *
-     * @param sessionValues the session's values
-     * @param shape the prepared statement to execute next
+     * @param sessionValues values of the session
+     * @param shape the prepared statement to execute next, if any
      */
     public void applySession(Map<String, String> sessionValues, Option<PreparedShape> shape) {
         if (link instanceof BorrowedLink borrowed) {
@@ -72,7 +72,7 @@
      * Sends a command.
      *
      * @param command the command
-     * @param handler takes its answer
+     * @param handler receives the reply
      */
     public void send(EndpointCommand command, ReplyHandler handler) {
         if (state == State.CLOSED) {
@@ -84,27 +84,27 @@
         link.send(List.of(command));
     }
 
-    /** Forgets which statements are prepared, after the endpoint said that it does not know one. */
+    /** Clears the record of prepared statements, after the endpoint reported one as unknown. */
     public void clearPrepared() {
         prepared.clear();
     }
 
     /**
-     * Reports a log position that only a primary can have given.
+     * Reports a log position from a reply that only a primary gives.
      *
-     * @param askedMillis when the question was sent, milliseconds of the monotonic clock
+     * @param askedMillis time at which the command was sent, milliseconds of the monotonic clock
      * @param position the position
      */
     public void reportPrimary(long askedMillis, LogPosition position) {
         pool.callbacks().primaryConfirmed(pool.endpoint().id(), askedMillis, position);
     }
 
-    /** Reports that the endpoint refused what only a primary accepts. */
+    /** Reports that the endpoint refused a command because it is not the primary. */
     public void reportNotPrimary() {
         pool.callbacks().notPrimary(pool.endpoint().id());
     }
 
-    /** Returns the connection; it is lent again once all commands are answered. */
+    /** Returns the connection to the pool; it becomes idle once all commands are answered. */
     public void release() {
         if (state == State.LENT) {
             state = State.RETURNING;
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Closes the connection, which rolls back what is open on it. */
+    /** Closes the connection, which rolls back its open transaction. */
     public void discard() {
         if (state != State.CLOSED) {
             link.close();
@@ -183,7 +183,7 @@
         pool.leaseEnded(account, opening, reason);
     }
 
-    /** Whether it leads straight to the endpoint, not through another VM. */
+    /** Whether the connection goes to the endpoint directly and not through a lender. */
     boolean direct() {
         return !(link instanceof BorrowedLink);
     }
@@ -217,7 +217,7 @@
         return stateSinceMillis;
     }
 
-    /** Time since when the oldest unanswered command or the opening waits; nothing when none does. */
+    /** Returns the time at which the opening or the oldest unanswered command began; nothing if all is answered. */
     Option<Long> unansweredSinceMillis() {
         if (state == State.OPENING) {
             return Option.some(stateSinceMillis);
@@ -266,7 +266,7 @@
         }
     }
 
-    /** A connection whose values or prepared statements are uncertain must not be used again. */
+    /** Closes the connection if its session values or prepared statements could not be set, as its state is unknown. */
     private final class SetupReply implements ReplyHandler {
 
         @Override
@@ -278,7 +278,7 @@
 
         @Override
         public void connectionLost() {
-            // The handler of the statement that follows reports the loss.
+            // The handler of the statement that follows reports the lost connection.
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionListener.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionListener.java
@@ -2,19 +2,19 @@
 
 import org.hyssopswitch.core.position.LogPosition;
 
-/** Told whether an endpoint is the primary; not told when no answer arrives. */
+/** Notified whether an endpoint is the primary; not notified if there is no answer. */
 public interface PositionListener {
 
     /**
-     * The endpoint proved that it is the primary.
+     * The endpoint confirmed that it is the primary.
      *
-     * @param position its log position after the question was asked
+     * @param position its log position after the query was sent
      */
     void primaryConfirmed(LogPosition position);
 
     /** The endpoint is a replica. */
     void notPrimary();
 
-    /** The endpoint cannot be reached by whoever was asked. */
+    /** The endpoint is unreachable from the VM that was queried. */
     void unreachable();
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionSamples.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PositionSamples.java
@@ -6,17 +6,17 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * Log positions of a group's primary with the time by which each was certainly reached.
+ * Samples of the log position of a group's primary, each with the time at which it was queried.
  *
- * <p>A sample is taken from an answer that only a primary gives. Every commit acknowledged before the question was sent
- * is at or below the position in the answer, so a log that holds the position misses nothing older than the question.
+ * <p>A sample is taken from a reply that only a primary gives. Every commit acknowledged before the query was sent is
+ * at or below the position in the reply, so a log that contains the position lacks no commit older than the query.
  */
 final class PositionSamples {
 
-    /** Samples closer together than this add nothing: accepted ages are a second and more. */
+    /** Minimum time between samples, milliseconds; closer ones add nothing, as accepted staleness is 1 s or more. */
     private static final long MIN_SPACING_MILLIS = 25;
 
-    /** Samples older than this are of no use to any accepted age seen on routes. */
+    /** Maximum age of samples, milliseconds; it exceeds the accepted staleness of all routes seen. */
     private static final long MAX_AGE_MILLIS = 60_000;
 
     private final Deque<Sample> samples = new ArrayDeque<>();
@@ -24,10 +24,10 @@
     private long validFromMillis = Long.MIN_VALUE;
 
     /**
-     * Adds a sample; samples of earlier terms than the latest are ignored.
+     * Adds a sample; samples of terms before the latest are ignored.
      *
-     * @param askedMillis time at which the question was sent, milliseconds of the monotonic clock
-     * @param position the position in the answer
+     * @param askedMillis time at which the query was sent, milliseconds of the monotonic clock
+     * @param position the log position in the reply
      */
     void add(long askedMillis, LogPosition position) {
         long term = term();
@@ -50,30 +50,31 @@
     }
 
     /**
-     * Forgets all samples, because their ages are no longer known, but not the term.
+     * Discards all samples, because their ages are no longer known, but keeps the term.
      *
-     * @param nowMillis milliseconds of the monotonic clock; samples asked for earlier are ignored from now on
+     * @param nowMillis current time of the monotonic clock, milliseconds; earlier queries are ignored from now on
      */
     void discardSamples(long nowMillis) {
         samples.clear();
         validFromMillis = nowMillis;
     }
 
-    /** The latest term seen; -1 before the first sample. */
+    /** Returns the latest term seen; -1 before the first sample. */
     long term() {
         return termStart.map(LogPosition::term).getOrElse(-1L);
     }
 
-    /** Time of the question of the latest sample, or nothing. */
+    /** Returns the time at which the latest sample was queried, if there is one. */
     Option<Long> latestAskedMillis() {
         return Option.of(samples.peekLast()).map(Sample::askedMillis);
     }
 
     /**
-     * The lowest position that misses no commit older than an accepted age; nothing when no sample is young enough.
+     * Returns the lowest known position that lacks no commit older than the accepted staleness, or nothing if no sample
+     * is recent enough.
      *
-     * @param nowMillis milliseconds of the monotonic clock
-     * @param stalenessMillis the accepted age, milliseconds
+     * @param nowMillis current time of the monotonic clock, milliseconds
+     * @param stalenessMillis accepted staleness, milliseconds
      */
     Option<LogPosition> floor(long nowMillis, long stalenessMillis) {
         for (Sample sample : samples) {
@@ -85,10 +86,10 @@
     }
 
     /**
-     * Replaces a position of an earlier term, which a promotion may have rolled back, by the first one known of the
-     * latest term, which includes all that survived.
+     * Translates a position of an earlier term, whose commits a promotion may have discarded, to the first known
+     * position of the latest term, which includes all surviving commits. Other positions are returned unchanged.
      *
-     * @param floor the position
+     * @param floor the log position
      */
     LogPosition toLatestTerm(LogPosition floor) {
         return floor.term() < term() ? termStart.get() : floor;
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
@@ -9,14 +9,14 @@
 import org.hyssopswitch.pool.statement.Reply;
 
 /**
- * Asks an endpoint whether it is the primary and for its log position.
+ * Queries whether an endpoint is the primary, and its log position.
  *
- * <p>The start of a read-write transaction is the question, because only a primary accepts it. All listeners that ask
- * before it is sent share one question.
+ * <p>The query is the start of a read-write transaction, because only a primary accepts it. All listeners that are
+ * added before a query is sent share it.
  */
 final class PrimarySampler {
 
-    /** Listeners kept at most; one that is dropped asks again. */
+    /** Maximum number of waiting listeners; one that is dropped must query again. */
     private static final int MAX_LISTENERS = 1_024;
 
     private final EndpointPool pool;
@@ -26,7 +26,7 @@
         this.pool = pool;
     }
 
-    /** Asks on behalf of a listener. */
+    /** Queries on behalf of a listener. */
     void query(PositionListener listener) {
         listeners.addLast(listener);
         if (listeners.size() > MAX_LISTENERS) {
@@ -35,21 +35,21 @@
         sample();
     }
 
-    /** Sends the question for the listeners that still wait. */
+    /** Sends the query if listeners still wait for it. */
     void tick() {
         if (!listeners.isEmpty()) {
             sample();
         }
     }
 
-    /** The endpoint cannot be reached. */
+    /** Notifies all waiting listeners that the endpoint is unreachable. */
     void notifyUnreachable() {
         List<PositionListener> notified = List.copyOf(listeners);
         listeners.clear();
         notified.forEach(PositionListener::unreachable);
     }
 
-    /** Sends the question if a connection is at hand. */
+    /** Sends the query if a connection is idle. */
     void sample() {
         pool.findIdleOrOpen().forEach(connection -> {
             List<PositionListener> notified = List.copyOf(listeners);
@@ -81,7 +81,7 @@
 
         @Override
         public void connectionLost() {
-            // The pool counts the failure of the connection, and whoever asked asks again.
+            // The pool handles the lost connection, and listeners query again.
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplicationStatus.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplicationStatus.java
@@ -3,10 +3,10 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * What an endpoint says about itself.
+ * Replication status as reported by an endpoint.
  *
- * @param primary whether it sees itself as the primary
- * @param term the latest term it knows
- * @param received the log position that it has received, applied or not
+ * @param primary whether it reports itself as the primary
+ * @param term the latest term known to it
+ * @param received log position up to which it has received the log, applied or not
  */
 public record ReplicationStatus(boolean primary, long term, LogPosition received) {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplyHandler.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ReplyHandler.java
@@ -2,29 +2,29 @@
 
 import org.hyssopswitch.pool.statement.Reply;
 
-/** Takes the answer to one command. Exactly one of the methods is called, once. */
+/** Receives the reply to one command. Exactly one of the methods is called, exactly once. */
 public interface ReplyHandler {
 
-    /** Ignores the answer. */
+    /** A handler that ignores the reply. */
     ReplyHandler NONE = new ReplyHandler() {
         @Override
         public void replied(Reply reply) {
-            // Nothing depends on the answer.
+            // Nothing depends on the reply.
         }
 
         @Override
         public void connectionLost() {
-            // The holder of the connection is told by the handler of its own statement.
+            // The user of the connection is notified by the handler of its own statement.
         }
     };
 
     /**
      * The command was answered.
      *
-     * @param reply the answer
+     * @param reply the reply
      */
     void replied(Reply reply);
 
-    /** The connection ended without an answer. */
+    /** The connection was closed before the command was answered. */
     void connectionLost();
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SharerCounts.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SharerCounts.java
@@ -1,10 +1,10 @@
 package org.hyssopswitch.pool.endpoint;
 
 /**
- * Who shares the connections of endpoints.
+ * The numbers of VMs and client accounts that share the connections of endpoints.
  *
- * @param vms number of VMs, 1 or more
- * @param accounts number of client accounts, each of which needs connections of its own
+ * @param vms number of VMs, at least 1
+ * @param accounts number of client accounts, at least 0; each needs connections of its own
  */
 public record SharerCounts(int vms, int accounts) {
 
@@ -12,7 +12,7 @@
     public SharerCounts {
         if (vms < 1 || accounts < 0) {
             throw new IllegalArgumentException(
-                    "1 VM or more must share connections for 0 accounts or more, but are " + vms + " and " + accounts);
+                    "at least 1 VM and 0 accounts must share connections, but there are " + vms + " and " + accounts);
         }
     }
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/StatusDecoder.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/StatusDecoder.java
@@ -2,15 +2,15 @@
 
 import io.vavr.control.Option;
 
-/** Reads the row in which an endpoint answers a query of its status. */
+/** Decodes the row with which an endpoint answers a status query. */
 @FunctionalInterface
 public interface StatusDecoder {
 
     /**
-     * Reads a row.
+     * Decodes a row.
      *
      * @param row the row
-     * @return the status, or nothing when the row cannot be read
+     * @return the status, or nothing if the row cannot be parsed
      */
     Option<ReplicationStatus> decode(String row);
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SuspensionDetector.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/SuspensionDetector.java
@@ -3,14 +3,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells when the monotonic clock may have stood still.
+ * Detects that the VM may have been suspended, during which the monotonic clock stops.
  *
- * <p>It does not count the time for which a VM is suspended, the time of day does. Each change of the difference between
- * the two is taken for a suspension; that it may have been a step of the time of day costs little.
+ * <p>The wall clock includes the time of a suspension and the monotonic clock does not. Each change of their difference
+ * is considered a suspension; a step of the wall clock has the same effect, which costs little.
  */
 final class SuspensionDetector {
 
-    /** Difference from which on a suspension is assumed, milliseconds: clocks that are slewed differ by less. */
+    /** Change of the difference above which a suspension is assumed, milliseconds; slewing the clock stays below it. */
     private static final long TOLERANCE_MILLIS = 100;
 
     private final LongSupplier monotonicMillis;
@@ -23,7 +23,7 @@
         this.differenceMillis = wallClockMillis.getAsLong() - monotonicMillis.getAsLong();
     }
 
-    /** Whether the VM may have been suspended since this method last returned true. */
+    /** Returns whether the VM may have been suspended since this method last returned true, or since the start. */
     boolean detectSuspension() {
         long difference = wallClockMillis.getAsLong() - monotonicMillis.getAsLong();
         if (Math.abs(difference - differenceMillis) <= TOLERANCE_MILLIS) {
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/CallerStatement.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/CallerStatement.java
@@ -6,7 +6,7 @@
     /**
      * Starts a transaction.
      *
-     * @param readOnly whether it only reads
+     * @param readOnly whether the transaction only reads
      */
     record Begin(boolean readOnly) implements CallerStatement {}
 
@@ -17,7 +17,7 @@
      */
     record Commit(String text) implements CallerStatement {}
 
-    /** Rolls the transaction back. */
+    /** Rolls back the transaction. */
     record Rollback() implements CallerStatement {}
 
     /**
@@ -37,8 +37,8 @@
     /**
      * Sets a session value.
      *
-     * @param name its name
-     * @param value its value
+     * @param name name of the value
+     * @param value the value
      */
     record SetValue(String name, String value) implements CallerStatement {}
 
@@ -46,7 +46,7 @@
      * Prepares a statement.
      *
      * @param name the caller's name for it
-     * @param shape what it does
+     * @param shape the shape of the statement
      */
     record Prepare(String name, PreparedShape shape) implements CallerStatement {}
 
@@ -59,16 +59,16 @@
     record Execute(String name, String arguments) implements CallerStatement {}
 
     /**
-     * Forgets a prepared statement.
+     * Discards a prepared statement.
      *
      * @param name the caller's name for it
      */
     record Deallocate(String name) implements CallerStatement {}
 
     /**
-     * A statement that cannot be read.
+     * A statement that cannot be parsed.
      *
-     * @param reason what is wrong with it
+     * @param reason what is wrong with the statement
      */
     record Malformed(String reason) implements CallerStatement {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/EndpointCommand.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/EndpointCommand.java
@@ -3,44 +3,44 @@
 import io.vavr.control.Option;
 import org.hyssopswitch.core.position.LogPosition;
 
-/** What a VM sends to an endpoint. */
+/** A command that a VM sends to an endpoint. */
 public sealed interface EndpointCommand {
 
     /**
      * Starts a transaction.
      *
-     * @param readOnly whether replicas accept it
-     * @param floor log position that the endpoint must hold
+     * @param readOnly whether the transaction only reads, so that replicas accept it
+     * @param floor lowest log position that the endpoint must have applied; none if any will do
      */
     record Begin(boolean readOnly, Option<LogPosition> floor) implements EndpointCommand {}
 
-    /** Rolls the transaction back. */
+    /** Rolls back the transaction. */
     record Rollback() implements EndpointCommand {}
 
-    /** Drops session values and prepared statements of the connection. */
+    /** Discards the session values and prepared statements of the connection. */
     record Reset() implements EndpointCommand {}
 
     /**
      * Sets a session value.
      *
-     * @param name its name
-     * @param value its value
+     * @param name name of the value
+     * @param value the value
      */
     record SetValue(String name, String value) implements EndpointCommand {}
 
     /**
-     * Prepares a statement under the name that its shape gives it.
+     * Prepares a statement under the name derived from its shape.
      *
-     * @param shape what it does
+     * @param shape the shape of the statement
      */
     record Prepare(PreparedShape shape) implements EndpointCommand {}
 
     /**
      * Forwards a caller's statement unchanged.
      *
-     * @param id the caller's identifier of it
-     * @param text the statement
-     * @param floor log position that the endpoint must hold
+     * @param id the caller's identifier of the statement
+     * @param text the statement as received
+     * @param floor lowest log position that the endpoint must have applied; none if any will do
      */
     record Forward(String id, String text, Option<LogPosition> floor) implements EndpointCommand {}
 
@@ -48,20 +48,20 @@
      * Executes a prepared statement.
      *
      * @param id the caller's identifier of the statement
-     * @param shape what was prepared
-     * @param arguments the caller's arguments unchanged
-     * @param floor log position that the endpoint must hold
+     * @param shape the shape of the prepared statement
+     * @param arguments the caller's arguments, unchanged
+     * @param floor lowest log position that the endpoint must have applied; none if any will do
      */
     record Execute(String id, PreparedShape shape, String arguments, Option<LogPosition> floor)
             implements EndpointCommand {}
 
-    /** Asks for role, term and positions. */
+    /** Queries the role, term and log position of the endpoint. */
     record QueryStatus() implements EndpointCommand {}
 
     /**
-     * Makes a primary of a lower term a replica.
+     * Demotes a primary of a lower term to a replica.
      *
-     * @param term the term
+     * @param term term above that of the primary
      */
     record StepDown(long term) implements EndpointCommand {}
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/ErrorCode.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/ErrorCode.java
@@ -2,33 +2,33 @@
 
 /** Why a statement failed. */
 public enum ErrorCode {
-    /** No capacity; nothing ran. */
+    /** No capacity is available; the statement did not run. */
     OVERLOADED(true),
     /** The transaction was rolled back. */
     ABORTED(true),
-    /** The replica lacks the required position; nothing ran. */
+    /** The replica has not applied the required log position; the statement did not run. */
     LAGGING(true),
-    /** The endpoint is not the primary; nothing ran. */
+    /** The endpoint is not the primary; the statement did not run. */
     READ_ONLY(true),
-    /** The endpoint is another one than expected; nothing ran. */
+    /** The endpoint is not the expected one; the statement did not run. */
     MISROUTED(true),
-    /** The endpoint accepts no more connections; nothing ran. */
+    /** The endpoint accepts no more connections; the statement did not run. */
     TOO_MANY_CONNECTIONS(true),
-    /** The endpoint does not know the prepared statement; nothing ran. */
+    /** The prepared statement does not exist on the connection; the statement did not run. */
     STATEMENT_UNKNOWN(false),
     /** The statement ran and failed. */
     FAILED(false),
-    /** The statement did not end in time and may still run. */
+    /** The statement timed out and may still be running. */
     TIMEOUT(false),
-    /** The outcome is unknown. */
+    /** It is unknown whether the statement took effect. */
     IN_DOUBT(false),
     /** The key is unknown. */
     KEY_UNKNOWN(false),
-    /** No route has the database name. */
+    /** There is no route for the database name. */
     DATABASE_UNKNOWN(false),
     /** The message is too long. */
     TOO_LARGE(false),
-    /** The statement is not permitted in the present state or cannot be read. */
+    /** The statement cannot be parsed or is not permitted in the current state of the session. */
     MALFORMED(false);
 
     private final boolean guaranteesNoEffect;
@@ -37,7 +37,7 @@
         this.guaranteesNoEffect = guaranteesNoEffect;
     }
 
-    /** Whether the code promises callers that nothing of their attempt is kept. */
+    /** Whether the code guarantees to callers that their attempt has had no effect. */
     public boolean guaranteesNoEffect() {
         return guaranteesNoEffect;
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/PreparedShape.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/PreparedShape.java
@@ -1,9 +1,9 @@
 package org.hyssopswitch.pool.statement;
 
 /**
- * What a prepared statement does; equal shapes share one prepared statement of a connection.
+ * The text and kind of a prepared statement; equal shapes share one prepared statement per connection.
  *
  * @param write whether it writes
- * @param shape its text
+ * @param shape text of the statement
  */
 public record PreparedShape(boolean write, String shape) {}
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/Reply.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/Reply.java
@@ -5,32 +5,32 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * The whole answer to one statement.
+ * The complete reply to one statement or command.
  *
- * @param rows the rows
+ * @param rows the rows of the result
  * @param outcome how the statement ended
- * @param status state of the session after it
- * @param position the log position that the endpoint reported
+ * @param status transaction status of the session afterwards
+ * @param position log position reported by the endpoint, if any
  */
 public record Reply(
         List<String> rows, StatementOutcome outcome, TransactionStatus status, Option<LogPosition> position) {
 
-    /** Copies the rows. */
+    /** Copies the rows, so that the reply is immutable. */
     public Reply {
         rows = List.copyOf(rows);
     }
 
     /**
-     * An answer that the VM gives itself.
+     * Creates a reply that the VM gives itself, without an endpoint.
      *
      * @param outcome how the statement ended
-     * @param status state of the session after it
+     * @param status transaction status of the session afterwards
      */
     public static Reply local(StatementOutcome outcome, TransactionStatus status) {
         return new Reply(List.of(), outcome, status, Option.none());
     }
 
-    /** The error, if the statement failed. */
+    /** Returns the error code if the statement failed. */
     public Option<ErrorCode> error() {
         return outcome instanceof StatementOutcome.Failed failed ? Option.some(failed.code()) : Option.none();
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/TransactionStatus.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/TransactionStatus.java
@@ -1,11 +1,11 @@
 package org.hyssopswitch.pool.statement;
 
-/** State of a session between statements. */
+/** Transaction status of a session between statements. */
 public enum TransactionStatus {
     /** Outside a transaction. */
     IDLE,
     /** Inside a transaction. */
     OPEN,
-    /** Inside a transaction that has failed and can only be ended. */
+    /** Inside a failed transaction, which can only be ended. */
     FAILED
 }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/package-info.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/statement/package-info.java
@@ -1,2 +1,6 @@
-/** Statements, replies and commands to endpoints, independent of any wire protocol. */
+/**
+ * Statements of callers, commands to endpoints and their replies, independent of any wire protocol.
+ *
+ * <p>Part of the engine behind the users' platform.
+ */
 package org.hyssopswitch.pool.statement;
