--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/catalog/EndpointDirectoryTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/catalog/EndpointDirectoryTests.java
@@ -15,14 +15,14 @@
     private final Endpoint entry = new Endpoint("e1", "group", "10.0.0.1", 1, "dc", false, true, 1, 0, 1);
 
     @Test
-    void removesAnEntryAtOnceWhileTheStoreIsThere() {
+    void removesAnEntryAtOnceWhileTheStoreIsAvailable() {
         directory.put(entry);
         directory.remove("e1");
         assertTrue(directory.endpoints().isEmpty());
     }
 
     @Test
-    void keepsAnEntryThatReturnsShortlyAfterTheStore() {
+    void keepsAnEntryThatReappearsShortlyAfterTheStoreRecovers() {
         directory.put(entry);
         directory.storeRecovered();
         directory.replaceAll(Map.of());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void removesAnEntryThatIsStillMissingAfterTheStoresReturn() {
+    void removesAnEntryThatIsStillMissingAfterTheGracePeriod() {
         directory.put(entry);
         directory.storeRecovered();
         directory.replaceAll(Map.of());
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/ConnectionUseTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/ConnectionUseTests.java
@@ -13,7 +13,7 @@
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
-/** Many client accounts at an endpoint that accepts few connections from all VMs together. */
+/** Connections of many client accounts to an endpoint that accepts few connections from all VMs together. */
 class ConnectionUseTests {
 
     private static final int CONNECTIONS = 16;
@@ -23,7 +23,7 @@
     private final TestPool pool = new TestPool(CONNECTIONS, VMS);
 
     @Test
-    void keepsOnlyItsShareOfAPrimarysConnectionsWhileTheyAreUnused() {
+    void closesIdleConnectionsBeyondItsShareOfAPrimary() {
         configureAccounts();
         for (int round = 0; round < 5; round++) {
             for (int i = 0; i < ACCOUNTS; i++) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void reportsAShortageWhenItsShareIsRefused() {
+    void reportsAShortageWhenAConnectionOfItsShareIsRefused() {
         TestPool full = new TestPool(CONNECTIONS, VMS);
         full.endpoint("e1").setConnectionsExhausted(true);
         full.connectCaller(TestPool.LATEST).read("r1");
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/LostPrimaryTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/LostPrimaryTests.java
@@ -11,20 +11,20 @@
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
-/** Statements for a primary that is lost, silent, replaced or about to stop. */
+/** Statements for a primary that is unreachable, unresponsive, replaced or draining. */
 class LostPrimaryTests {
 
     private static final int CONNECTIONS = 16;
     private static final int VMS = 6;
 
-    /** A quarter of the routes' latency objective, the longest wait for a refusal that is certain. */
+    /** Maximum time until a statement that cannot be served is refused, a quarter of the routes' latency objective. */
     private static final long REFUSAL_MILLIS = 50;
 
     private final TestPool pool = new TestPool(CONNECTIONS, VMS);
     private final FakeCaller caller = pool.connectCaller(TestPool.LATEST);
 
     @Test
-    void findsAPromotedPrimaryThatTheStoreDoesNotTellOf() {
+    void findsAPromotedPrimaryThatTheStoreDoesNotList() {
         warmUp();
         pool.endpoint("e1").crash();
         pool.advance(1_000);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void refusesAWriteAtOnceWhileThePrimaryIsKnownToBeLost() {
+    void refusesAWriteAtOnceWhileThePrimaryIsUnreachable() {
         warmUp();
         pool.endpoint("e1").crash();
         pool.advance(300);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void refusesWritesThatWaitForASilentPrimarySoonAfterItsSilenceIsSeen() {
+    void refusesWritesSoonAfterThePrimaryBecomesUnresponsive() {
         warmUp();
         pool.endpoint("e1").setUnresponsive(true);
         caller.write("w1");
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void doesNotTakeAPrimaryForSilentBecauseOneAnswerIsLate() {
+    void keepsAPrimaryReachableWhenOneReplyIsLate() {
         warmUp();
         pool.endpoint("e1").setWorkMillis(450);
         caller.write("w1");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void asksAForeignProcessAtAnEndpointsAddressOnlyNowAndThen() {
+    void retriesRarelyWhileAForeignProcessHasTheEndpointsAddress() {
         warmUp();
         pool.endpoint("e1").setMisrouted(true);
         pool.endpoint("e1").breakConnections();
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void givesNoNewWorkToAnEndpointThatHasBeenStoppingForLong() {
+    void refusesWritesForAPrimaryThatHasBeenDrainingForLong() {
         warmUp();
         Endpoint entry = pool.endpoint("e1").entry("group", "dc-e1", 7);
         pool.updateEndpoint(
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PositionSamplesTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/PositionSamplesTests.java
@@ -18,7 +18,7 @@
     private final PositionSamples samples = new PositionSamples();
 
     @Test
-    void takesTheLowestPositionThatIsYoungEnough() {
+    void returnsTheLowestPositionThatIsRecentEnough() {
         samples.add(1_000, new LogPosition(1, 10));
         samples.add(2_000, new LogPosition(1, 20));
         samples.add(3_000, new LogPosition(1, 30));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void forgetsPositionsOfEarlierTerms() {
+    void discardsPositionsOfEarlierTerms() {
         samples.add(1_000, new LogPosition(1, 50));
         samples.add(1_100, new LogPosition(2, 40));
         samples.add(1_200, new LogPosition(1, 60));
@@ -37,7 +37,7 @@
     }
 
     @Property(seed = "7", tries = 200)
-    void neverMissesACommitOlderThanTheAcceptedAge(
+    void neverLacksACommitOlderThanTheAcceptedStaleness(
             @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 90) Integer> gaps,
             @ForAll @IntRange(min = 1, max = 2_000) int stalenessMillis) {
         PositionSamples many = new PositionSamples();
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/SuspensionTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/SuspensionTests.java
@@ -8,7 +8,10 @@
 import org.hyssopswitch.pool.testing.TestPool;
 import org.junit.jupiter.api.Test;
 
-/** A VM is suspended for longer than reads accept, and its monotonic clock with it. */
+/**
+ * Guards against stale reads after a VM was suspended for longer than the accepted staleness. The monotonic clock stops
+ * during the suspension, so that samples of the log position appear more recent than they are.
+ */
 class SuspensionTests {
 
     private static final long SUSPENDED_MILLIS = 5_000;
@@ -16,7 +19,7 @@
     private final TestPool pool = new TestPool(16, 1);
 
     @Test
-    void readsNoReplicaByAPositionFromBeforeASuspension() {
+    void doesNotReadReplicasAtAPositionSampledBeforeASuspension() {
         FakeCaller caller = pool.connectCaller(TestPool.BOUNDED);
         caller.read("r1");
         pool.advance(300);
@@ -32,7 +35,7 @@
     }
 
     @Test
-    void takesNoPositionThatWasAskedForBeforeASuspension() {
+    void ignoresAPositionQueriedBeforeASuspension() {
         FakeCaller caller = pool.connectCaller(TestPool.LATEST);
         caller.send("b", new CallerStatement.Begin(false));
         caller.read("r1");
@@ -46,7 +49,7 @@
     }
 
     @Test
-    void readsReplicasAgainOnceTheLogPositionIsKnownAnew() {
+    void readsReplicasAgainOnceTheLogPositionIsSampledAgain() {
         FakeCaller caller = pool.connectCaller(TestPool.BOUNDED);
         caller.read("r1");
         pool.suspend(SUSPENDED_MILLIS);
