--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ControlCommandRequest.java
@@ -85,9 +85,9 @@
     }
 
     @Override
-    public void assigned(PooledConnection lent, Option<LogPosition> floor) {
-        connection = Option.some(lent);
-        lent.send(command, this);
+    public void assigned(PooledConnection assignedConnection, Option<LogPosition> floor) {
+        connection = Option.some(assignedConnection);
+        assignedConnection.send(command, this);
     }
 
     @Override
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/EndpointPool.java
@@ -364,7 +364,7 @@
             return;
         }
         counters.recordAssigned(waitedMillis);
-        connection.markLent();
+        connection.markInUse();
         request.assigned(connection, floor);
     }
 
@@ -388,13 +388,13 @@
             return false;
         }
         PooledConnection connection = new PooledConnection(this, request.account(), now);
-        Option<BorrowedLink> lent = leases.borrow(
+        Option<BorrowedLink> borrowed = leases.borrow(
                 endpoint, request.account(), request.priority(), request.assignmentDeadlineMillis() - now, connection);
-        lent.forEach(link -> {
+        borrowed.forEach(link -> {
             connections.add(connection);
             connection.attach(link);
         });
-        return lent.isDefined();
+        return borrowed.isDefined();
     }
 
     /** Returns idle borrowed connections and cancels lease requests that no waiting request needs. */
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PooledConnection.java
@@ -106,7 +106,7 @@
 
     /** Returns the connection to the pool; it becomes idle once all commands are answered. */
     public void release() {
-        if (state == State.LENT) {
+        if (state == State.IN_USE) {
             state = State.RETURNING;
             completeReturn();
         }
@@ -225,8 +225,8 @@
         return Option.of(pending.peekFirst()).map(PendingCommand::sentMillis);
     }
 
-    void markLent() {
-        state = State.LENT;
+    void markInUse() {
+        state = State.IN_USE;
         stateSinceMillis = pool.nowMillis();
     }
 
@@ -254,7 +254,7 @@
     private enum State {
         OPENING,
         IDLE,
-        LENT,
+        IN_USE,
         RETURNING,
         CLOSED
     }
--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/PrimarySampler.java
@@ -54,7 +54,7 @@
         pool.findIdleOrOpen().forEach(connection -> {
             List<PositionListener> notified = List.copyOf(listeners);
             listeners.clear();
-            connection.markLent();
+            connection.markInUse();
             connection.send(
                     new EndpointCommand.Begin(false, Option.none()),
                     new SampleReply(connection, pool.nowMillis(), notified));
--- a/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/LostPrimaryTests.java
+++ b/hyssopswitch-pool/src/test/java/org/hyssopswitch/pool/endpoint/LostPrimaryTests.java
@@ -81,8 +81,8 @@
             caller.write("w" + i);
             pool.advance(20);
         }
-        int asked = pool.endpoint("e1").connectAttempts() - before;
-        assertTrue(asked <= 3, asked + " connections asked for");
+        int attempts = pool.endpoint("e1").connectAttempts() - before;
+        assertTrue(attempts <= 3, attempts + " connection attempts");
         assertFalse(pool.group().isReachable("e1"));
     }
 
