--- a/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
+++ b/hyssopswitch-pool/src/main/java/org/hyssopswitch/pool/endpoint/ConnectionRequestQueue.java
@@ -5,32 +5,32 @@
 import java.util.List;
 import java.util.Map;
 
-/** Work that waits for a connection: the most important first, equally important work in the order of its arrival. */
+/** Requests that wait for a connection, ordered by priority and then by arrival. */
 final class ConnectionRequestQueue {
 
     private final List<ConnectionRequest> waiting = new ArrayList<>();
-    private final Map<ConnectionRequest, Long> sinceMillis = new HashMap<>();
+    private final Map<ConnectionRequest, Long> enqueuedMillis = new HashMap<>();
 
-    void add(ConnectionRequest work, long nowMillis) {
-        int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).priority() > work.priority()) {
-            at--;
+    void add(ConnectionRequest request, long nowMillis) {
+        int index = waiting.size();
+        while (index > 0 && waiting.get(index - 1).priority() > request.priority()) {
+            index--;
         }
-        waiting.add(at, work);
-        sinceMillis.put(work, nowMillis);
+        waiting.add(index, request);
+        enqueuedMillis.put(request, nowMillis);
     }
 
-    /** Removes work and returns how long it has waited, milliseconds. */
-    long remove(ConnectionRequest work, long nowMillis) {
-        waiting.remove(work);
-        return nowMillis - sinceMillis.remove(work);
+    /** Removes a request and returns the time for which it has waited, milliseconds. */
+    long remove(ConnectionRequest request, long nowMillis) {
+        waiting.remove(request);
+        return nowMillis - enqueuedMillis.remove(request);
     }
 
-    boolean contains(ConnectionRequest work) {
-        return sinceMillis.containsKey(work);
+    boolean contains(ConnectionRequest request) {
+        return enqueuedMillis.containsKey(request);
     }
 
-    /** All work, in the order in which it is served. */
+    /** Returns all requests in the order in which they are served. */
     List<ConnectionRequest> all() {
         return List.copyOf(waiting);
     }
@@ -39,20 +39,20 @@
         return waiting.size();
     }
 
-    /** Removes and returns all work. */
+    /** Removes and returns all requests. */
     List<ConnectionRequest> drain() {
         List<ConnectionRequest> result = all();
         waiting.clear();
-        sinceMillis.clear();
+        enqueuedMillis.clear();
         return result;
     }
 
-    /** Removes and returns the work whose time to be assigned has passed. */
+    /** Removes and returns the requests whose assignment deadline has passed. */
     List<ConnectionRequest> removeExpired(long nowMillis) {
         List<ConnectionRequest> expired = waiting.stream()
-                .filter(work -> nowMillis >= work.assignmentDeadlineMillis())
+                .filter(request -> nowMillis >= request.assignmentDeadlineMillis())
                 .toList();
-        expired.forEach(work -> remove(work, nowMillis));
+        expired.forEach(request -> remove(request, nowMillis));
         return expired;
     }
 }
