--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainPhase.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainPhase.java
@@ -5,7 +5,7 @@
     /** The VM takes new work. */
     RUNNING,
     /** The VM is announced as leaving, moves idle callers and hands back its shares. */
-    LEAVING,
+    DRAINING,
     /** Everything has been handed back, or the time for it has passed and the shares will expire. */
-    DONE
+    DRAINED
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
@@ -12,28 +12,28 @@
 public final class DrainSystem implements DecisionSystem {
 
     /** Time after which a VM no longer waits for the platform to take back its slots. */
-    public static final long HAND_BACK_TIMEOUT_MILLIS = 10_000;
+    public static final long SLOT_RELEASE_TIMEOUT_MILLIS = 10_000;
 
-    private final Runnable announcement;
+    private final Runnable leaveAnnouncement;
     private final LimitSystem limits;
     private DrainPhase phase = DrainPhase.RUNNING;
-    private boolean requested;
-    private long sinceMillis;
+    private boolean drainRequested;
+    private long drainStartMillis;
 
     /**
      * Creates a system in the running phase.
      *
-     * @param announcement announces to the other VMs that this VM leaves
+     * @param leaveAnnouncement announces to the other VMs that this VM leaves
      * @param limits the shares and slots to hand back
      */
-    public DrainSystem(Runnable announcement, LimitSystem limits) {
-        this.announcement = announcement;
+    public DrainSystem(Runnable leaveAnnouncement, LimitSystem limits) {
+        this.leaveAnnouncement = leaveAnnouncement;
         this.limits = limits;
     }
 
     /** Begins to leave at the next tick. Further calls change nothing. */
     public void requestDrain() {
-        requested = true;
+        drainRequested = true;
     }
 
     /** How far the stop has come. */
@@ -43,21 +43,21 @@
 
     /** Whether the VM takes new callers and new transactions. */
     public boolean acceptsWork() {
-        return !requested;
+        return !drainRequested;
     }
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        if (requested && phase == DrainPhase.RUNNING) {
-            phase = DrainPhase.LEAVING;
-            sinceMillis = nowMillis;
-            announcement.run();
+        if (drainRequested && phase == DrainPhase.RUNNING) {
+            phase = DrainPhase.DRAINING;
+            drainStartMillis = nowMillis;
+            leaveAnnouncement.run();
         }
-        if (phase == DrainPhase.LEAVING) {
+        if (phase == DrainPhase.DRAINING) {
             limits.releaseSlots(nowMillis, out);
-            boolean timedOut = nowMillis - sinceMillis >= HAND_BACK_TIMEOUT_MILLIS;
+            boolean timedOut = nowMillis - drainStartMillis >= SLOT_RELEASE_TIMEOUT_MILLIS;
             if (limits.isReleased() || timedOut) {
-                phase = DrainPhase.DONE;
+                phase = DrainPhase.DRAINED;
             }
         }
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
@@ -26,20 +26,20 @@
 public final class DeficitRoundRobinQueue<T> implements StatementQueue<T> {
 
     private static final double MIN_QUANTUM = 1.0 / 64;
-    private static final double INTERVAL_SMOOTHING = 0.1;
-    private static final long MIN_RETRY_MILLIS = 10;
-    private static final long MAX_RETRY_MILLIS = 5_000;
+    private static final double POLL_INTERVAL_SMOOTHING = 0.1;
+    private static final long MIN_RETRY_AFTER_MILLIS = 10;
+    private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
 
     private final ToDoubleFunction<ClientAccountId> weights;
     private final QueueLimits limits;
     private final Map<ClientAccountId, AccountQueue<T>> queues = new HashMap<>();
-    private final Deque<AccountQueue<T>> round = new ArrayDeque<>();
+    private final Deque<AccountQueue<T>> activeQueues = new ArrayDeque<>();
     private final List<T> dropped = new ArrayList<>();
     private int size;
     private double maxWeight;
     private long earliestDeadlineMillis = Long.MAX_VALUE;
     private long lastPollMillis = -1;
-    private double intervalMillis = 1;
+    private double meanPollIntervalMillis = 1;
 
     /**
      * Creates an empty queue.
@@ -76,14 +76,14 @@
             lastPollMillis = -1;
             return Optional.empty();
         }
-        observePoll(nowMillis);
-        AccountQueue<T> queue = nextInTurn();
+        recordPollInterval(nowMillis);
+        AccountQueue<T> queue = nextQueue();
         T item = queue.dequeue();
         size--;
         if (queue.size() == 0) {
             deactivate(queue);
         } else if (!queue.canDequeue()) {
-            round.addLast(round.removeFirst());
+            activeQueues.addLast(activeQueues.removeFirst());
         }
         return Optional.of(item);
     }
@@ -107,37 +107,37 @@
         if (size < limits.total()) {
             return true;
         }
-        AccountQueue<T> worst = queues.values().stream()
+        AccountQueue<T> longest = queues.values().stream()
                 .max(Comparator.comparingDouble((AccountQueue<T> q) -> q.backlogPerWeight())
                         .thenComparing(AccountQueue::account))
                 .orElse(offering);
-        if (worst == offering || worst.backlogPerWeight() <= (offering.size() + 1) / offering.weight()) {
+        if (longest == offering || longest.backlogPerWeight() <= (offering.size() + 1) / offering.weight()) {
             return false;
         }
-        dropped.add(worst.removeNewest());
+        dropped.add(longest.removeNewest());
         size--;
-        if (worst.size() == 0) {
-            deactivate(worst);
+        if (longest.size() == 0) {
+            deactivate(longest);
         }
         return true;
     }
 
     /** Finds the first account in turn that affords a statement, giving quanta on the way. */
-    private AccountQueue<T> nextInTurn() {
-        AccountQueue<T> head = round.peekFirst();
+    private AccountQueue<T> nextQueue() {
+        AccountQueue<T> head = activeQueues.peekFirst();
         while (!head.canDequeue()) {
             if (head.addQuantum(Math.max(MIN_QUANTUM, head.weight() / maxWeight))) {
                 return head;
             }
-            round.addLast(round.removeFirst());
-            head = round.peekFirst();
+            activeQueues.addLast(activeQueues.removeFirst());
+            head = activeQueues.peekFirst();
         }
         return head;
     }
 
     private void activate(AccountQueue<T> queue) {
         if (queues.putIfAbsent(queue.account(), queue) == null) {
-            round.addLast(queue);
+            activeQueues.addLast(queue);
             maxWeight = Math.max(maxWeight, queue.weight());
         }
     }
@@ -145,7 +145,7 @@
     /** Forgets an account without waiting statements, and its deficit with it. */
     private void deactivate(AccountQueue<T> queue) {
         queues.remove(queue.account());
-        round.remove(queue);
+        activeQueues.remove(queue);
         if (queue.weight() >= maxWeight) {
             maxWeight = queues.values().stream()
                     .mapToDouble(AccountQueue::weight)
@@ -169,9 +169,9 @@
         size -= dropped.size() - before;
     }
 
-    private void observePoll(long nowMillis) {
+    private void recordPollInterval(long nowMillis) {
         if (lastPollMillis >= 0) {
-            intervalMillis += INTERVAL_SMOOTHING * (nowMillis - lastPollMillis - intervalMillis);
+            meanPollIntervalMillis += POLL_INTERVAL_SMOOTHING * (nowMillis - lastPollMillis - meanPollIntervalMillis);
         }
         lastPollMillis = nowMillis;
     }
@@ -181,7 +181,7 @@
         double total =
                 queues.values().stream().mapToDouble(AccountQueue::weight).sum();
         double share = total > 0 ? Math.min(1, queue.weight() / total) : 1;
-        double wait = (queue.size() + 1) * intervalMillis / share;
-        return Math.round(Math.min((double) MAX_RETRY_MILLIS, Math.max((double) MIN_RETRY_MILLIS, wait)));
+        double wait = (queue.size() + 1) * meanPollIntervalMillis / share;
+        return Math.round(Math.min((double) MAX_RETRY_AFTER_MILLIS, Math.max((double) MIN_RETRY_AFTER_MILLIS, wait)));
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/KeyCheckUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/KeyCheckUtils.java
@@ -10,7 +10,7 @@
 public final class KeyCheckUtils {
 
     /** Keys of one account that a key without a name is tried against. */
-    private static final int MAX_CANDIDATES = 4;
+    private static final int MAX_CANDIDATE_KEYS = 4;
 
     private KeyCheckUtils() {}
 
@@ -41,22 +41,22 @@
      * Checks that the key of a session is still in force. A key that was created again under the same name is another
      * key.
      *
-     * @param session the key of the session
+     * @param sessionKey the key of the session
      * @param configuration the configuration in force
      * @return the refusal, or nothing when the request may run
      */
-    public static Option<Refusal> check(SessionKey session, Configuration configuration) {
+    public static Option<Refusal> check(SessionKey sessionKey, Configuration configuration) {
         boolean inForce = configuration
-                .account(session.account())
-                .map(a -> a.keys().contains(session.verifier()))
+                .account(sessionKey.account())
+                .map(a -> a.keys().contains(sessionKey.verifier()))
                 .orElse(false);
-        return inForce ? Option.none() : Option.of(new Refusal.KeyWithdrawn(session.account()));
+        return inForce ? Option.none() : Option.of(new Refusal.KeyWithdrawn(sessionKey.account()));
     }
 
     private static List<SessionKey> keysOf(CallerName name, Configuration configuration) {
         return configuration.account(name.account()).map(AccountDeclaration::keys).orElse(List.of()).stream()
                 .filter(k -> name.key().map(k.id()::equals).orElse(true))
-                .limit(MAX_CANDIDATES)
+                .limit(MAX_CANDIDATE_KEYS)
                 .map(k -> new SessionKey(name.account(), k))
                 .toList();
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/ScramUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/ScramUtils.java
@@ -30,9 +30,9 @@
      * @param iterations PBKDF2 iterations
      */
     public static KeyVerifier derive(KeyId id, String key, byte[] salt, int iterations) {
-        byte[] salted = salt(key, salt, iterations);
-        byte[] storedKey = hash(hmac(salted, "Client Key"));
-        byte[] serverKey = hmac(salted, "Server Key");
+        byte[] saltedPassword = saltPassword(key, salt, iterations);
+        byte[] storedKey = hash(hmac(saltedPassword, "Client Key"));
+        byte[] serverKey = hmac(saltedPassword, "Server Key");
         return new KeyVerifier(id, encode(salt), iterations, encode(storedKey), encode(serverKey));
     }
 
@@ -46,9 +46,9 @@
         if (key.isEmpty()) {
             return false;
         }
-        byte[] salted = salt(key, Base64.getDecoder().decode(verifier.salt()), verifier.iterations());
+        byte[] saltedPassword = saltPassword(key, Base64.getDecoder().decode(verifier.salt()), verifier.iterations());
         byte[] expected = Base64.getDecoder().decode(verifier.storedKey());
-        return MessageDigest.isEqual(expected, hash(hmac(salted, "Client Key")));
+        return MessageDigest.isEqual(expected, hash(hmac(saltedPassword, "Client Key")));
     }
 
     /**
@@ -81,7 +81,7 @@
         return hmac(Base64.getDecoder().decode(verifier.serverKey()), authMessage);
     }
 
-    private static byte[] salt(String key, byte[] salt, int iterations) {
+    private static byte[] saltPassword(String key, byte[] salt, int iterations) {
         try {
             KeySpec spec = new PBEKeySpec(key.toCharArray(), salt, iterations, HASH_BITS);
             return SecretKeyFactory.getInstance("PBKDF2WithHmacSHA256")
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueueTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueueTests.java
@@ -23,7 +23,7 @@
     private static final ClientAccountId SMALL = new ClientAccountId("small");
 
     @Test
-    void servesInProportionToTheWeights() {
+    void servesAccountsInProportionToTheirWeights() {
         DeficitRoundRobinQueue<ClientAccountId> queue = queue(200, 400);
         for (int i = 0; i < 100; i++) {
             queue.offer(LARGE, LARGE, 1_000, 0);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void keepsTheOrderOfOneAccount() {
+    void servesStatementsOfOneAccountInOrder() {
         DeficitRoundRobinQueue<Integer> queue = new DeficitRoundRobinQueue<>(a -> 1, new QueueLimits(10, 10));
         for (int i = 0; i < 5; i++) {
             queue.offer(SMALL, i, 1_000, 0);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void refusesAnAccountBeyondItsBoundAndAdvisesWhenToRetry() {
+    void refusesStatementBeyondAccountLimitWithRetryDelay() {
         DeficitRoundRobinQueue<Integer> queue = new DeficitRoundRobinQueue<>(a -> 1, new QueueLimits(2, 10));
         queue.offer(LARGE, 1, 1_000, 0);
         queue.offer(LARGE, 2, 1_000, 0);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void shedsTheNewestOfTheAccountThatExceedsMostWhenFull() {
+    void shedsNewestStatementOfAccountWithLongestBacklogWhenFull() {
         DeficitRoundRobinQueue<Integer> queue = new DeficitRoundRobinQueue<>(a -> 1, new QueueLimits(4, 4));
         for (int i = 0; i < 4; i++) {
             queue.offer(LARGE, i, 1_000, 0);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void neverServesAStatementAfterItsDeadline() {
+    void neverServesStatementAfterItsDeadline() {
         DeficitRoundRobinQueue<Integer> queue = new DeficitRoundRobinQueue<>(a -> 1, new QueueLimits(4, 4));
         queue.offer(SMALL, 1, 10, 0);
         queue.offer(SMALL, 2, 100, 0);
@@ -86,7 +86,7 @@
     }
 
     @Property(seed = "218115", tries = 200)
-    void accountsForEveryAcceptedStatementExactlyOnce(@ForAll long seed) {
+    void servesOrDropsEveryAcceptedStatementExactlyOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         DeficitRoundRobinQueue<Integer> queue =
                 new DeficitRoundRobinQueue<>(a -> 1 + a.value().length() % 3, new QueueLimits(5, 12));
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairQueue.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairQueue.java
@@ -7,24 +7,24 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 
 /** The queue under test, weighted by the rates of {@link FairnessSimulation}. */
-final class FairQueue implements StatementQueue<FairnessSimulation.Statement> {
+final class FairQueue implements StatementQueue<FairnessSimulation.WaitingStatement> {
 
-    private final DeficitRoundRobinQueue<FairnessSimulation.Statement> queue =
+    private final DeficitRoundRobinQueue<FairnessSimulation.WaitingStatement> queue =
             new DeficitRoundRobinQueue<>(FairnessSimulation::rate, QueueLimits.DEFAULT);
 
     @Override
     public Option<Refusal> offer(
-            ClientAccountId account, FairnessSimulation.Statement item, long deadlineMillis, long nowMillis) {
+            ClientAccountId account, FairnessSimulation.WaitingStatement item, long deadlineMillis, long nowMillis) {
         return queue.offer(account, item, deadlineMillis, nowMillis);
     }
 
     @Override
-    public Optional<FairnessSimulation.Statement> poll(long nowMillis) {
+    public Optional<FairnessSimulation.WaitingStatement> poll(long nowMillis) {
         return queue.poll(nowMillis);
     }
 
     @Override
-    public List<FairnessSimulation.Statement> removeDropped(long nowMillis) {
+    public List<FairnessSimulation.WaitingStatement> removeDropped(long nowMillis) {
         return queue.removeDropped(nowMillis);
     }
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessMeasureTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessMeasureTests.java
@@ -12,26 +12,31 @@
     private static final long SEED = 11;
 
     @Test
-    void anAccountAtEightTimesItsRateBarelyTouchesTheOthers() {
-        FairnessSimulation calm =
+    void accountAtEightTimesItsRateRaisesP99OfOthersByAtMostAQuarter() {
+        FairnessSimulation baseline =
                 FairnessSimulation.run(new FairQueue(), Optional.of(FairnessSimulation.limiter()), 1, SEED);
-        FairnessSimulation abused =
+        FairnessSimulation overloaded =
                 FairnessSimulation.run(new FairQueue(), Optional.of(FairnessSimulation.limiter()), 8, SEED);
-        FairnessSimulation unlimited = FairnessSimulation.run(new FairQueue(), Optional.empty(), 8, SEED);
-        FairnessSimulation calmSingle = FairnessSimulation.run(new SharedFifoQueue(), Optional.empty(), 1, SEED);
-        FairnessSimulation abusedSingle = FairnessSimulation.run(new SharedFifoQueue(), Optional.empty(), 8, SEED);
-        print("limiter and deficit round robin", calm, abused);
-        print("deficit round robin alone", calm, unlimited);
-        print("first come first served", calmSingle, abusedSingle);
-        assertEquals(0, abused.refusedOthers());
-        assertEquals(0, unlimited.refusedOthers());
-        assertTrue(abused.worstP99Ratio(calm) <= 1.25, "ratio " + abused.worstP99Ratio(calm));
-        assertTrue(abusedSingle.worstP99Ratio(calmSingle) > 1.25, "the baseline must show the harm");
+        FairnessSimulation overloadedWithoutLimiter =
+                FairnessSimulation.run(new FairQueue(), Optional.empty(), 8, SEED);
+        FairnessSimulation fifoBaseline = FairnessSimulation.run(new SharedFifoQueue(), Optional.empty(), 1, SEED);
+        FairnessSimulation fifoOverloaded = FairnessSimulation.run(new SharedFifoQueue(), Optional.empty(), 8, SEED);
+        print("limiter and deficit round robin", baseline, overloaded);
+        print("deficit round robin alone", baseline, overloadedWithoutLimiter);
+        print("first come first served", fifoBaseline, fifoOverloaded);
+        assertEquals(0, overloaded.refusedOthers());
+        assertEquals(0, overloadedWithoutLimiter.refusedOthers());
+        assertTrue(overloaded.worstP99Ratio(baseline) <= 1.25, "ratio " + overloaded.worstP99Ratio(baseline));
+        assertTrue(fifoOverloaded.worstP99Ratio(fifoBaseline) > 1.25, "the baseline must show the harm");
     }
 
-    private static void print(String name, FairnessSimulation calm, FairnessSimulation abused) {
+    private static void print(String name, FairnessSimulation baseline, FairnessSimulation overloaded) {
         System.out.printf(
                 "fairness %s: worst p99 of others calm=%.1f ms abused=%.1f ms worst ratio=%.2f refused others=%d%n",
-                name, calm.worstP99(), abused.worstP99(), abused.worstP99Ratio(calm), abused.refusedOthers());
+                name,
+                baseline.worstP99(),
+                overloaded.worstP99(),
+                overloaded.worstP99Ratio(baseline),
+                overloaded.refusedOthers());
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessSimulation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessSimulation.java
@@ -20,7 +20,7 @@
 final class FairnessSimulation {
 
     private static final double[] RATES = {120, 90, 60, 30, 20, 15, 10, 5};
-    private static final double LOAD = 0.8;
+    private static final double LOAD_FACTOR = 0.8;
     private static final int SLOTS = 3;
     private static final double MEAN_SERVICE_MILLIS = 5;
     private static final long RUN_MILLIS = 300_000;
@@ -28,28 +28,28 @@
     private static final int STEPS_PER_MILLI = 10;
 
     private final Map<ClientAccountId, List<Double>> latencies = new HashMap<>();
-    private final StatementQueue<Statement> queue;
+    private final StatementQueue<WaitingStatement> queue;
     private final Optional<RateLimiter> limiter;
-    private final SplittableRandom service;
+    private final SplittableRandom serviceTimes;
     private final double[] slotFreeMillis = new double[SLOTS];
     private long refusedOthers;
 
-    private FairnessSimulation(StatementQueue<Statement> queue, Optional<RateLimiter> limiter, long seed) {
+    private FairnessSimulation(StatementQueue<WaitingStatement> queue, Optional<RateLimiter> limiter, long seed) {
         this.queue = queue;
         this.limiter = limiter;
-        this.service = new SplittableRandom(seed + 1);
+        this.serviceTimes = new SplittableRandom(seed + 1);
     }
 
     /** Runs with the largest account at a multiple of its rate. */
     static FairnessSimulation run(
-            StatementQueue<Statement> queue, Optional<RateLimiter> limiter, double multiple, long seed) {
+            StatementQueue<WaitingStatement> queue, Optional<RateLimiter> limiter, double rateMultiple, long seed) {
         FairnessSimulation run = new FairnessSimulation(queue, limiter, seed);
         List<SplittableRandom> arrivals = new ArrayList<>();
         for (int i = 0; i < RATES.length; i++) {
             arrivals.add(new SplittableRandom(seed * 31 + i));
         }
         for (long step = 0; step < RUN_MILLIS * STEPS_PER_MILLI; step++) {
-            run.step((double) step / STEPS_PER_MILLI, arrivals, multiple);
+            run.step((double) step / STEPS_PER_MILLI, arrivals, rateMultiple);
         }
         return run;
     }
@@ -80,48 +80,53 @@
         return others().stream().mapToDouble(this::p99).max().orElse(0);
     }
 
-    double worstP99Ratio(FairnessSimulation calm) {
-        return others().stream().mapToDouble(a -> p99(a) / calm.p99(a)).max().orElse(0);
+    double worstP99Ratio(FairnessSimulation baseline) {
+        return others().stream()
+                .mapToDouble(a -> p99(a) / baseline.p99(a))
+                .max()
+                .orElse(0);
     }
 
-    private void step(double now, List<SplittableRandom> arrivals, double multiple) {
-        long millis = (long) now;
+    private void step(double exactMillis, List<SplittableRandom> arrivals, double rateMultiple) {
+        long nowMillis = (long) exactMillis;
         for (int i = 0; i < RATES.length; i++) {
-            double rate = RATES[i] * LOAD * (i == 0 ? multiple / LOAD : 1);
+            double rate = RATES[i] * LOAD_FACTOR * (i == 0 ? rateMultiple / LOAD_FACTOR : 1);
             if (arrivals.get(i).nextDouble() < rate / 1_000 / STEPS_PER_MILLI) {
-                offer(new Statement(new ClientAccountId("a" + i), now, millis + DEADLINE_MILLIS), millis);
+                offer(
+                        new WaitingStatement(new ClientAccountId("a" + i), exactMillis, nowMillis + DEADLINE_MILLIS),
+                        nowMillis);
             }
         }
-        queue.removeDropped(millis).forEach(this::refused);
+        queue.removeDropped(nowMillis).forEach(this::countRefusal);
         for (int slot = 0; slot < SLOTS; slot++) {
-            if (slotFreeMillis[slot] <= now) {
-                serve(slot, now, millis);
+            if (slotFreeMillis[slot] <= exactMillis) {
+                serve(slot, exactMillis, nowMillis);
             }
         }
     }
 
-    private void offer(Statement statement, long millis) {
-        if (limiter.flatMap(l -> l.tryAcquire(statement.account(), millis).toJavaOptional())
+    private void offer(WaitingStatement statement, long nowMillis) {
+        if (limiter.flatMap(l -> l.tryAcquire(statement.account(), nowMillis).toJavaOptional())
                 .isPresent()) {
-            refused(statement);
+            countRefusal(statement);
             return;
         }
-        if (queue.offer(statement.account(), statement, statement.deadlineMillis(), millis)
+        if (queue.offer(statement.account(), statement, statement.deadlineMillis(), nowMillis)
                 .isDefined()) {
-            refused(statement);
+            countRefusal(statement);
         }
     }
 
-    private void serve(int slot, double now, long millis) {
-        queue.poll(millis).ifPresent(statement -> {
-            slotFreeMillis[slot] = now - MEAN_SERVICE_MILLIS * Math.log(1 - service.nextDouble());
+    private void serve(int slot, double exactMillis, long nowMillis) {
+        queue.poll(nowMillis).ifPresent(statement -> {
+            slotFreeMillis[slot] = exactMillis - MEAN_SERVICE_MILLIS * Math.log(1 - serviceTimes.nextDouble());
             latencies
                     .computeIfAbsent(statement.account(), a -> new ArrayList<>())
                     .add(slotFreeMillis[slot] - statement.arrivedMillis());
         });
     }
 
-    private void refused(Statement statement) {
+    private void countRefusal(WaitingStatement statement) {
         refusedOthers += statement.account().value().equals("a0") ? 0 : 1;
     }
 
@@ -136,5 +141,5 @@
     }
 
     /** A statement that waits. */
-    record Statement(ClientAccountId account, double arrivedMillis, long deadlineMillis) {}
+    record WaitingStatement(ClientAccountId account, double arrivedMillis, long deadlineMillis) {}
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/SharedFifoQueue.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/SharedFifoQueue.java
@@ -11,13 +11,13 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 
 /** The baseline: one queue for all client accounts, first come first served, with the same bound in total. */
-final class SharedFifoQueue implements StatementQueue<FairnessSimulation.Statement> {
+final class SharedFifoQueue implements StatementQueue<FairnessSimulation.WaitingStatement> {
 
-    private final Deque<FairnessSimulation.Statement> queue = new ArrayDeque<>();
+    private final Deque<FairnessSimulation.WaitingStatement> queue = new ArrayDeque<>();
 
     @Override
     public Option<Refusal> offer(
-            ClientAccountId account, FairnessSimulation.Statement item, long deadlineMillis, long nowMillis) {
+            ClientAccountId account, FairnessSimulation.WaitingStatement item, long deadlineMillis, long nowMillis) {
         if (queue.size() >= QueueLimits.DEFAULT.total()) {
             return Option.some(new Refusal.Overloaded(account, 100));
         }
@@ -26,15 +26,15 @@
     }
 
     @Override
-    public Optional<FairnessSimulation.Statement> poll(long nowMillis) {
+    public Optional<FairnessSimulation.WaitingStatement> poll(long nowMillis) {
         return Optional.ofNullable(queue.poll());
     }
 
     @Override
-    public List<FairnessSimulation.Statement> removeDropped(long nowMillis) {
-        List<FairnessSimulation.Statement> expired = new ArrayList<>();
-        for (Iterator<FairnessSimulation.Statement> i = queue.iterator(); i.hasNext(); ) {
-            FairnessSimulation.Statement next = i.next();
+    public List<FairnessSimulation.WaitingStatement> removeDropped(long nowMillis) {
+        List<FairnessSimulation.WaitingStatement> expired = new ArrayList<>();
+        for (Iterator<FairnessSimulation.WaitingStatement> i = queue.iterator(); i.hasNext(); ) {
+            FairnessSimulation.WaitingStatement next = i.next();
             if (next.deadlineMillis() <= nowMillis) {
                 expired.add(next);
                 i.remove();
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/key/KeyCheckUtilsTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/key/KeyCheckUtilsTests.java
@@ -45,15 +45,15 @@
         "CLERKS, old secret, ",
         "clerks/old/x, old secret, "
     })
-    void acceptsExactlyTheKeysOfTheAccount(String user, String key, String accepted) {
+    void acceptsOnlyKeysOfTheAccount(String user, String key, String expectedKey) {
         assertEquals(
-                Option.of(accepted),
+                Option.of(expectedKey),
                 authenticate(user, key, configuration(1, OLD, NEW))
                         .map(k -> k.verifier().id().value()));
     }
 
     @Test
-    void aWithdrawnKeyRefusesTheNextRequestOfAnOpenSession() {
+    void refusesNextRequestOfOpenSessionAfterKeyIsWithdrawn() {
         SessionKey session =
                 authenticate("clerks", "old secret", configuration(1, OLD, NEW)).get();
         assertTrue(KeyCheckUtils.check(session, configuration(2, OLD)).isEmpty());
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aKeyThatIsCreatedAgainUnderTheSameNameIsAnotherKey() {
+    void treatsRecreatedKeyOfSameNameAsDifferentKey() {
         SessionKey session =
                 authenticate("clerks", "old secret", configuration(1, OLD)).get();
         assertInstanceOf(
@@ -76,16 +76,16 @@
     }
 
     @Test
-    void anOldConfigurationIsRefusedOnlyBeyondTheDeclaredAge() {
-        StalenessPolicy strict = StalenessPolicy.refuseBeyond(5_000);
-        assertTrue(strict.check(5_000).isEmpty());
-        assertEquals(new Refusal.ConfigurationStale(5_001), strict.check(5_001).get());
+    void refusesOnlyConfigurationsBeyondMaximumAge() {
+        StalenessPolicy policy = StalenessPolicy.refuseBeyond(5_000);
+        assertTrue(policy.check(5_000).isEmpty());
+        assertEquals(new Refusal.ConfigurationStale(5_001), policy.check(5_001).get());
         assertTrue(StalenessPolicy.serveLastKnown().check(86_400_000).isEmpty());
     }
 
     /** The exchange that RFC 7677 gives as an example. */
     @Test
-    void scramAgreesWithThePublishedExample() {
+    void scramMatchesExampleOfRfc7677() {
         byte[] salt = Base64.getDecoder().decode("W22ZaJ0SNY7soEsUEjb6gQ==");
         KeyVerifier verifier = ScramUtils.derive(new KeyId("k"), "pencil", salt, 4_096);
         String authMessage = "n=user,r=rOprNGfwEbeRWgbNEkqO,"
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotReleaseTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/SlotReleaseTests.java
@@ -23,7 +23,7 @@
             drain.tick(leaving.localMillis(fleet.now()), fleet.outbox(leaving));
             fleet.step();
         }
-        assertEquals(DrainPhase.DONE, drain.phase());
+        assertEquals(DrainPhase.DRAINED, drain.phase());
         assertEquals(0, leaving.system().ownedSlots());
         assertEquals(LimitSettings.DEFAULT.slots(), fleet.vms().get(1).system().ownedSlots());
         assertEquals(List.of(), LimitAudit.breaches(load.admissions(), LimitFaultTests.rates()));
@@ -37,11 +37,11 @@
         LimitVm leaving = fleet.vms().get(0);
         DrainSystem drain = new DrainSystem(() -> fleet.markLeaving(leaving), leaving.system());
         drain.requestDrain();
-        for (int i = 0; i <= DrainSystem.HAND_BACK_TIMEOUT_MILLIS + 100; i++) {
+        for (int i = 0; i <= DrainSystem.SLOT_RELEASE_TIMEOUT_MILLIS + 100; i++) {
             drain.tick(leaving.localMillis(fleet.now()), fleet.outbox(leaving));
             fleet.step();
         }
-        assertEquals(DrainPhase.DONE, drain.phase());
+        assertEquals(DrainPhase.DRAINED, drain.phase());
     }
 
     private static void run(LimitFleet fleet, LimitLoad load, int millis) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/placement/RendezvousHomeResolverTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/placement/RendezvousHomeResolverTests.java
@@ -22,23 +22,23 @@
     private static final CellId CELL = new CellId("recife");
     private static final int ENDPOINTS = 1_000;
 
-    private final View view = new View();
+    private final FixedMembershipView view = new FixedMembershipView();
     private final RendezvousHomeResolver resolver = new RendezvousHomeResolver(view);
 
     @Test
-    void namesTwoDifferentHomes() {
+    void returnsTwoDistinctHomes() {
         view.set(10);
         List<VmAddress> homes = resolver.homes(endpoint(1));
         assertEquals(2, new HashSet<>(homes).size());
     }
 
     @Test
-    void namesNoHomeInAnUnknownCell() {
+    void returnsNoHomeForUnknownCell() {
         assertEquals(List.of(), resolver.homes(endpoint(1)));
     }
 
     @Test
-    void movesOnlyTheEndpointsOfAVmThatLeaves() {
+    void movesOnlyEndpointsOfRemovedVm() {
         view.set(10);
         List<VmAddress> before = homes();
         view.set(9);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void ranksASuspectedVmLast() {
+    void ranksSuspectedVmLast() {
         view.set(2);
         VmAddress home = resolver.homes(endpoint(1)).get(0);
         view.suspected.add(home);
@@ -79,7 +79,7 @@
                 new EndpointId("e" + number), new DataCentreId("recife"), CELL, "127.0.0.1", 5432, false);
     }
 
-    private static final class View implements MembershipView {
+    private static final class FixedMembershipView implements MembershipView {
         private final List<VmAddress> vms = new ArrayList<>();
         private final Set<VmAddress> suspected = new HashSet<>();
         private long version;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/position/EndpointStatusTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/position/EndpointStatusTests.java
@@ -20,9 +20,9 @@
         "3, 12, 10, 2, 40, true",
         "3, 9, 8, 2, 8, true"
     })
-    void coversAFloorOnlyWhenEveryAcknowledgedEntryIsApplied(
-            long term, long offset, long start, long floorTerm, long floorOffset, boolean covered) {
-        assertEquals(covered, status(term, offset, start).covers(new LogPosition(floorTerm, floorOffset)));
+    void coversFloorOnlyWhenEveryAcknowledgedEntryIsApplied(
+            long term, long offset, long termStart, long floorTerm, long floorOffset, boolean covered) {
+        assertEquals(covered, status(term, offset, termStart).covers(new LogPosition(floorTerm, floorOffset)));
     }
 
     @Property(seed = "720111")
@@ -31,8 +31,8 @@
         assertEquals(true, status.covers(status.applied()));
     }
 
-    private static EndpointStatus status(long term, long offset, long start) {
+    private static EndpointStatus status(long term, long offset, long termStart) {
         return new EndpointStatus(
-                new EndpointId("e1"), EndpointRole.REPLICA, term, new LogPosition(term, offset), start, 0, 0);
+                new EndpointId("e1"), EndpointRole.REPLICA, term, new LogPosition(term, offset), termStart, 0, 0);
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
@@ -139,7 +139,7 @@
 
         @Override
         public boolean done() {
-            return drain.phase() == DrainPhase.DONE;
+            return drain.phase() == DrainPhase.DRAINED;
         }
     }
 }
