--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainPhase.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainPhase.java
@@ -1,11 +1,11 @@
 package org.hyssopswitch.core.drain;
 
-/** How far the graceful stop of a VM has come. */
+/** The phases of the graceful shutdown of a VM. */
 public enum DrainPhase {
-    /** The VM takes new work. */
+    /** The VM accepts new work. */
     RUNNING,
-    /** The VM is announced as leaving, moves idle callers and hands back its shares. */
+    /** The VM is announced as leaving; it disconnects idle callers and releases its limit slots and rate shares. */
     DRAINING,
-    /** Everything has been handed back, or the time for it has passed and the shares will expire. */
+    /** All slots and shares are released, or the release timed out and the shares are left to expire. */
     DRAINED
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
@@ -6,12 +6,12 @@
 import org.hyssopswitch.core.limit.LimitSystem;
 
 /**
- * Stops a VM gracefully: announces that it leaves, so that others give it no new work, and hands back its shares and
- * slots while what runs is finished.
+ * Shuts a VM down gracefully: announces that it is leaving, so that the other VMs give it no new work, and releases its
+ * limit slots and rate shares while running statements complete.
  */
 public final class DrainSystem implements DecisionSystem {
 
-    /** Time after which a VM no longer waits for the platform to take back its slots. */
+    /** Longest wait for the platform to record that this VM no longer owns its slots, in milliseconds. */
     public static final long SLOT_RELEASE_TIMEOUT_MILLIS = 10_000;
 
     private final Runnable leaveAnnouncement;
@@ -23,25 +23,25 @@
     /**
      * Creates a system in the running phase.
      *
-     * @param leaveAnnouncement announces to the other VMs that this VM leaves
-     * @param limits the shares and slots to hand back
+     * @param leaveAnnouncement announces to the other VMs that this VM is leaving
+     * @param limits the owner of the slots and shares to release
      */
     public DrainSystem(Runnable leaveAnnouncement, LimitSystem limits) {
         this.leaveAnnouncement = leaveAnnouncement;
         this.limits = limits;
     }
 
-    /** Begins to leave at the next tick. Further calls change nothing. */
+    /** Requests the drain, which starts with the next tick. Further calls have no effect. */
     public void requestDrain() {
         drainRequested = true;
     }
 
-    /** How far the stop has come. */
+    /** Returns the phase of the shutdown. */
     public DrainPhase phase() {
         return phase;
     }
 
-    /** Whether the VM takes new callers and new transactions. */
+    /** Whether the VM accepts new callers and new transactions. */
     public boolean acceptsWork() {
         return !drainRequested;
     }
@@ -64,6 +64,6 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        // Only time moves a stop on.
+        // Only ticks advance the drain.
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Drain of endpoints and graceful shutdown of VMs. */
+/** Graceful shutdown of a VM of the core engine. */
 package org.hyssopswitch.core.drain;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/Execution.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/Execution.java
@@ -1,8 +1,8 @@
 package org.hyssopswitch.core.failure;
 
-/** Whether a statement that failed has run. */
+/** Whether a failed statement was executed. */
 public enum Execution {
-    /** No byte of the statement reached an endpoint, or the endpoint refused it before running it. */
+    /** No byte of the statement reached an endpoint, or the endpoint refused it before execution. */
     NOT_RUN,
     /** The statement may have run or may still run. */
     OUTCOME_UNKNOWN,
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/Failure.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/Failure.java
@@ -1,12 +1,12 @@
 package org.hyssopswitch.core.failure;
 
 /**
- * A failure that is carried as a value, usually on the left of an {@code Either}.
+ * A failure that is returned as a value, usually as the left side of an {@code Either}.
  *
- * <p>Feature packages declare their own records; those that reach a caller implement {@link Refusal}.
+ * <p>Each package declares its own records; failures that are reported to a caller are {@linkplain Refusal refusals}.
  */
 public interface Failure {
 
-    /** Says what failed and the value, in one line and without secrets. */
+    /** Returns one line that names what failed and the offending value; it contains no secrets. */
     String describe();
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/HyssopException.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/HyssopException.java
@@ -1,6 +1,6 @@
 package org.hyssopswitch.core.failure;
 
-/** Root of the exceptions of this project; thrown for failures of start-up and of programming contracts. */
+/** Base class of the exceptions of this project, thrown on start-up failures and on violated programming contracts. */
 public class HyssopException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -8,7 +8,7 @@
     /**
      * Creates an exception.
      *
-     * @param message what failed and the value
+     * @param message what failed and the offending value
      */
     public HyssopException(String message) {
         super(message);
@@ -17,7 +17,7 @@
     /**
      * Creates an exception with its cause.
      *
-     * @param message what failed and the value
+     * @param message what failed and the offending value
      * @param cause the cause
      */
     public HyssopException(String message, Throwable cause) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/Refusal.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failure/Refusal.java
@@ -7,18 +7,18 @@
 /** A failure that is reported to a caller with an SQLSTATE and the execution state of its statement. */
 public sealed interface Refusal extends Failure {
 
-    /** The SQLSTATE of the error that the caller receives; five characters. */
+    /** Returns the SQLSTATE of the error that the caller receives; five characters. */
     String sqlState();
 
-    /** Whether the statement has run. */
+    /** Returns whether the statement was executed. */
     Execution execution();
 
-    /** Milliseconds after which the caller may try again; 0 when a repeat will not help. */
+    /** Returns the milliseconds after which the caller may retry; 0 if a retry will not help. */
     default long retryAfterMillis() {
         return 0;
     }
 
-    /** No key, a wrong key, or a key that does not exist; the three are not told apart. */
+    /** The key is missing, wrong or unknown; the refusal does not disclose which. */
     record AuthenticationFailed() implements Refusal {
         @Override
         public String sqlState() {
@@ -103,7 +103,7 @@
     }
 
     /**
-     * The client account is beyond its rate and burst.
+     * The client account has exceeded its rate and burst.
      *
      * @param account the client account
      * @param retryAfterMillis milliseconds until a token will be available
@@ -176,7 +176,7 @@
      * The statement was sent and its outcome is not known.
      *
      * @param database the database
-     * @param reason what broke
+     * @param reason the failure that left the outcome unknown
      */
     record OutcomeUnknown(DatabaseId database, String reason) implements Refusal {
         @Override
@@ -196,7 +196,7 @@
     }
 
     /**
-     * A write was attempted on a route declared as a read.
+     * A write was attempted on a route that is declared as a read.
      *
      * @param route the route
      */
@@ -217,7 +217,7 @@
         }
     }
 
-    /** The VM is shutting down and takes no new work on this connection. */
+    /** The VM is shutting down and accepts no new work on this connection. */
     record ShuttingDown() implements Refusal {
         @Override
         public String sqlState() {
@@ -236,7 +236,7 @@
     }
 
     /**
-     * The caller broke the protocol.
+     * The caller violated the protocol.
      *
      * @param detail what was received
      */
@@ -258,7 +258,7 @@
     }
 
     /**
-     * The session token could not be read.
+     * The session token could not be parsed.
      *
      * @param detail what is wrong with it
      */
@@ -280,7 +280,7 @@
     }
 
     /**
-     * The configuration is too old for keys to be trusted.
+     * The configuration is too stale for keys to be trusted.
      *
      * @param ageMillis milliseconds since the configuration was last confirmed
      */
@@ -307,7 +307,7 @@
     }
 
     /**
-     * The caller names a prepared statement that its session has not prepared.
+     * The caller referred to a prepared statement that its session has not prepared.
      *
      * @param statement the name as given by the caller
      */
@@ -329,9 +329,9 @@
     }
 
     /**
-     * The caller uses a part of the protocol that is not supported.
+     * The caller used a protocol feature that is not supported.
      *
-     * @param feature the part
+     * @param feature the unsupported feature
      */
     record FeatureUnsupported(String feature) implements Refusal {
         @Override
@@ -369,9 +369,9 @@
     }
 
     /**
-     * The VM has as many callers as it may.
+     * The VM has reached its limit of caller connections.
      *
-     * @param maxConnections connections of callers at once
+     * @param maxConnections the limit
      */
     record TooManyConnections(long maxConnections) implements Refusal {
         @Override
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/AccountQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/AccountQueue.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** The waiting statements of one client account with its weight and deficit. */
+/** The waiting statements of one client account, with its weight and its deficit counter. */
 final class AccountQueue<T> {
 
     private final ClientAccountId account;
@@ -31,7 +31,7 @@
         return entries.size();
     }
 
-    /** Waiting statements in relation to the weight; the largest is the account that exceeds most. */
+    /** Returns the number of waiting statements per weight; a full queue sheds from the account with the most. */
     double backlogPerWeight() {
         return entries.size() / weight;
     }
@@ -44,7 +44,7 @@
         return entries.removeLast().item();
     }
 
-    /** Adds a round's quantum and says whether a statement may be taken. */
+    /** Adds the quantum of one round to the deficit and returns whether the deficit covers a statement. */
     boolean addQuantum(double quantum) {
         deficit += quantum;
         return deficit >= 1;
@@ -59,7 +59,7 @@
         return entries.removeFirst().item();
     }
 
-    /** Moves the statements whose deadline has passed to a list; returns the earliest deadline that remains. */
+    /** Moves the statements whose deadline has passed to {@code expired}; returns the earliest remaining deadline. */
     long removeExpired(long nowMillis, List<T> expired) {
         long earliest = Long.MAX_VALUE;
         for (Iterator<Entry<T>> i = entries.iterator(); i.hasNext(); ) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
@@ -18,8 +18,8 @@
  *
  * <p>Every round gives each waiting account a quantum of at most one statement, in proportion to its weight, so that an
  * account with few statements waits for at most one statement of each other account per quantum. When the queue is
- * full, a statement of the account with the most waiting statements per weight is shed: the offered one, or the newest
- * of that account.
+ * full, a statement of the account with the most waiting statements per weight is shed: the offered one if it is of
+ * that account, otherwise the newest one of that account.
  *
  * @param <T> what is queued
  */
@@ -45,7 +45,7 @@
      * Creates an empty queue.
      *
      * @param weights the declared rate of a client account, in statements per second
-     * @param limits the bounds
+     * @param limits the bounds of the queue
      */
     public DeficitRoundRobinQueue(ToDoubleFunction<ClientAccountId> weights, QueueLimits limits) {
         this.weights = weights;
@@ -88,7 +88,6 @@
         return Optional.of(item);
     }
 
-    /** {@inheritDoc} Statements that were shed for lack of room are returned too. */
     @Override
     public List<T> removeDropped(long nowMillis) {
         dropExpired(nowMillis);
@@ -102,7 +101,10 @@
         return size;
     }
 
-    /** Frees a place by shedding from the account that exceeds most; false when that is the offering account. */
+    /**
+     * Makes room for a statement, if necessary by shedding one of the account with the longest backlog per weight.
+     * Returns false if that is the offering account.
+     */
     private boolean makeRoom(AccountQueue<T> offering) {
         if (size < limits.total()) {
             return true;
@@ -122,7 +124,7 @@
         return true;
     }
 
-    /** Finds the first account in turn that affords a statement, giving quanta on the way. */
+    /** Returns the next account whose deficit covers a statement; adds a quantum to each account that it visits. */
     private AccountQueue<T> nextQueue() {
         AccountQueue<T> head = activeQueues.peekFirst();
         while (!head.canDequeue()) {
@@ -142,7 +144,7 @@
         }
     }
 
-    /** Forgets an account without waiting statements, and its deficit with it. */
+    /** Removes an account that has no waiting statements, and discards its deficit. */
     private void deactivate(AccountQueue<T> queue) {
         queues.remove(queue.account());
         activeQueues.remove(queue);
@@ -176,7 +178,7 @@
         lastPollMillis = nowMillis;
     }
 
-    /** The time in which the account's waiting statements are expected to be served. */
+    /** Returns the expected time until the account's waiting statements are served, from the mean interval of polls. */
     private long retryAfterMillis(AccountQueue<T> queue) {
         double total =
                 queues.values().stream().mapToDouble(AccountQueue::weight).sum();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/StatementQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/StatementQueue.java
@@ -16,29 +16,29 @@
     /**
      * Adds a statement.
      *
-     * @param account the client account that pays for it
+     * @param account the client account that the statement is charged to
      * @param item the statement
-     * @param deadlineMillis time of the monotonic clock at which it is given up
+     * @param deadlineMillis time of the monotonic clock at which the statement times out, in milliseconds
      * @param nowMillis milliseconds of the monotonic clock
-     * @return the refusal, or nothing when the statement is queued
+     * @return the refusal; none if the statement is queued
      */
     Option<Refusal> offer(ClientAccountId account, T item, long deadlineMillis, long nowMillis);
 
     /**
-     * Takes the statement to run next, passing over those whose deadline has passed.
+     * Removes and returns the statement to run next; statements whose deadline has passed are dropped.
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
     Optional<T> poll(long nowMillis);
 
     /**
-     * Returns, once each, the statements that will not run: their deadline has passed, or they were shed to make room
-     * for a client account that uses less of its share.
+     * Removes and returns the statements dropped since the last call, which will not run: their deadline has passed, or
+     * they were shed to make room for a client account that uses less of its share.
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
     List<T> removeDropped(long nowMillis);
 
-    /** The number of queued statements. */
+    /** Returns the number of queued statements. */
     int size();
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/package-info.java
@@ -1,2 +1,2 @@
-/** Fair queueing of statements at an endpoint's home. */
+/** Fair queueing of the statements that wait for an endpoint at its home VM, in the core engine. */
 package org.hyssopswitch.core.fairness;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/CallerName.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/CallerName.java
@@ -9,15 +9,15 @@
  * The user name that a caller gives: {@code <account>} or {@code <account>/<key>}.
  *
  * @param account the client account
- * @param key the key, or nothing when any key of the account may match
+ * @param key the name of the key; empty if any key of the account may match
  */
 public record CallerName(ClientAccountId account, Optional<KeyId> key) {
 
     /**
-     * Reads a user name.
+     * Parses a user name.
      *
-     * @param user the name as given
-     * @return the name, or nothing when it is not of this form
+     * @param user the user name that the caller sent
+     * @return the parsed name; none if it does not have this form
      */
     public static Option<CallerName> parse(String user) {
         int slash = user.indexOf('/');
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/KeyCheckUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/KeyCheckUtils.java
@@ -6,30 +6,32 @@
 import org.hyssopswitch.core.configuration.Configuration;
 import org.hyssopswitch.core.failure.Refusal;
 
-/** Decides whether a caller's key is in force: when it connects, and again for every request. */
+/** Checks whether the key of a caller is in force: when the caller connects, and again on every request. */
 public final class KeyCheckUtils {
 
-    /** Keys of one account that a key without a name is tried against. */
+    /** Maximum number of verifiers that are tried when the caller does not name its key. */
     private static final int MAX_CANDIDATE_KEYS = 4;
 
     private KeyCheckUtils() {}
 
     /**
-     * Finds the keys that a caller may mean.
+     * Finds the keys that may authenticate a caller.
      *
      * @param user the user name of the caller, {@code <account>} or {@code <account>/<key>}
      * @param configuration the configuration in force
-     * @return the keys; empty when the name, the account or the key is not known, which callers must not be told
+     * @return the keys; empty if the name, the account or the key is unknown, which must not be disclosed to the caller
      */
     public static List<SessionKey> candidates(String user, Configuration configuration) {
         return CallerName.parse(user).map(name -> keysOf(name, configuration)).getOrElse(List.of());
     }
 
     /**
-     * Finds the key that a caller gave in the clear. Takes milliseconds for each candidate by design.
+     * Finds the candidate that a clear-text key matches. Takes milliseconds per candidate: the key derivation is
+     * deliberately slow.
      *
-     * @param key the key
-     * @param candidates the keys that the caller may mean
+     * @param key the key in clear text
+     * @param candidates the keys to try
+     * @return the matching key, or none
      */
     public static Option<SessionKey> match(String key, List<SessionKey> candidates) {
         return Option.ofOptional(candidates.stream()
@@ -38,12 +40,12 @@
     }
 
     /**
-     * Checks that the key of a session is still in force. A key that was created again under the same name is another
+     * Checks that the key of a session is still in force. A key that was recreated under the same name is a different
      * key.
      *
      * @param sessionKey the key of the session
      * @param configuration the configuration in force
-     * @return the refusal, or nothing when the request may run
+     * @return the refusal; none if the request may run
      */
     public static Option<Refusal> check(SessionKey sessionKey, Configuration configuration) {
         boolean inForce = configuration
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/ScramUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/ScramUtils.java
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Checks a key that was received in the clear, in constant time.
+     * Checks a key that was received in clear text. The comparison takes constant time.
      *
      * @param key the key
      * @param verifier the verifier
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Checks the client proof of an exchange, in constant time.
+     * Checks the client proof of a SCRAM exchange. The comparison takes constant time.
      *
-     * @param authMessage the messages of the exchange, as RFC 5802 joins them
-     * @param proof the proof of the client
+     * @param authMessage the {@code AuthMessage} of the exchange, as defined by RFC 5802
+     * @param proof the {@code ClientProof}
      * @param verifier the verifier
      */
     public static boolean verifyProof(String authMessage, byte[] proof, KeyVerifier verifier) {
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Computes the signature by which the server proves that it has the verifier.
+     * Computes the {@code ServerSignature}, which proves to the client that the server has the verifier.
      *
-     * @param authMessage the messages of the exchange
+     * @param authMessage the {@code AuthMessage} of the exchange, as defined by RFC 5802
      * @param verifier the verifier
      */
     public static byte[] serverSignature(String authMessage, KeyVerifier verifier) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/SessionKey.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/SessionKey.java
@@ -4,7 +4,7 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 
 /**
- * The key by which a session was authenticated. It is in force for as long as the configuration has this verifier.
+ * The key that authenticated a session. It is in force for as long as the configuration contains this verifier.
  *
  * @param account the client account
  * @param verifier the verifier that accepted the key
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/StalenessPolicy.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/StalenessPolicy.java
@@ -4,28 +4,28 @@
 import org.hyssopswitch.core.failure.Refusal;
 
 /**
- * Whether keys are trusted under a configuration that could not be confirmed for a while.
+ * Decides whether keys are trusted while the configuration cannot be confirmed to be the latest.
  *
- * @param maxAgeMillis greatest age in milliseconds; {@link Long#MAX_VALUE} when any age is trusted
+ * @param maxAgeMillis maximum age of the configuration in milliseconds; {@link Long#MAX_VALUE} for no limit
  */
 public record StalenessPolicy(long maxAgeMillis) {
 
     /** Checks the range. */
     public StalenessPolicy {
         if (maxAgeMillis < 1) {
-            throw new IllegalArgumentException("the greatest age must be positive, but is " + maxAgeMillis);
+            throw new IllegalArgumentException("maxAgeMillis must be positive, but is " + maxAgeMillis);
         }
     }
 
-    /** Trusts the last known keys at any age. */
+    /** Returns a policy that trusts the last known keys at any age. */
     public static StalenessPolicy serveLastKnown() {
         return new StalenessPolicy(Long.MAX_VALUE);
     }
 
     /**
-     * Refuses requests that need a key beyond an age.
+     * Returns a policy that refuses requests that need a key once the configuration exceeds an age.
      *
-     * @param maxAgeMillis greatest age in milliseconds
+     * @param maxAgeMillis maximum age of the configuration in milliseconds
      */
     public static StalenessPolicy refuseBeyond(long maxAgeMillis) {
         return new StalenessPolicy(maxAgeMillis);
@@ -34,7 +34,8 @@
     /**
      * Checks the age of the configuration.
      *
-     * @param ageMillis milliseconds since the configuration was confirmed to be the latest
+     * @param ageMillis milliseconds since the configuration was last confirmed to be the latest
+     * @return the refusal; none if keys may be trusted
      */
     public Option<Refusal> check(long ageMillis) {
         return ageMillis > maxAgeMillis ? Option.of(new Refusal.ConfigurationStale(ageMillis)) : Option.none();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/package-info.java
@@ -1,2 +1,2 @@
-/** Authentication of callers by keys. */
+/** Authentication of callers by keys, in the core engine. */
 package org.hyssopswitch.core.key;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/message/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/message/package-info.java
@@ -1,2 +1,2 @@
-/** The marker of messages exchanged between VMs. */
+/** The marker interface of the messages that VMs exchange, used by both engines. */
 package org.hyssopswitch.core.message;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/placement/HomeResolver.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/placement/HomeResolver.java
@@ -11,7 +11,7 @@
      * Ranks the live VMs of the endpoint's cell for this endpoint.
      *
      * @param endpoint the endpoint
-     * @return home first, then the standby; empty when no VM of the cell is known to be live
+     * @return the home, then the standby; empty if no VM of the cell is known to be live
      */
     List<VmAddress> homes(EndpointDeclaration endpoint);
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/placement/RendezvousHomeResolver.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/placement/RendezvousHomeResolver.java
@@ -12,7 +12,7 @@
 /**
  * Ranks the VMs of an endpoint's cell by rendezvous hashing, so that the failure of a VM moves only its own endpoints.
  *
- * <p>Suspected VMs rank behind all others. Rankings are kept until the view changes.
+ * <p>Suspected VMs rank behind all others. Rankings are cached until the membership view changes.
  */
 public final class RendezvousHomeResolver implements HomeResolver {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/placement/RendezvousUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/placement/RendezvousUtils.java
@@ -12,7 +12,7 @@
     private RendezvousUtils() {}
 
     /**
-     * The score of a node for a key; the same on every VM.
+     * Returns the score of a node for a key, which is the same on every VM.
      *
      * @param key the key
      * @param node the node's name
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Orders nodes by descending score for a key.
+     * Returns a comparator that orders nodes by descending score for a key.
      *
      * @param <T> the type of the nodes
      * @param key the key
-     * @param name gives the name of a node
+     * @param name returns the name of a node
      */
     public static <T> Comparator<T> byScore(String key, Function<T, String> name) {
         return Comparator.comparingLong((T node) -> score(key, name.apply(node)))
@@ -34,6 +34,7 @@
                 .thenComparing(name);
     }
 
+    /** 64-bit FNV-1a over the characters of the text. */
     private static long hash(String text) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < text.length(); i++) {
@@ -42,6 +43,7 @@
         return hash;
     }
 
+    /** The finalizer of SplitMix64. */
     private static long mix(long value) {
         long z = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/position/EndpointRole.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/position/EndpointRole.java
@@ -6,6 +6,6 @@
     PRIMARY,
     /** Applies the primary's log and serves reads. */
     REPLICA,
-    /** Has accepted a newer term and waits for its primary; serves no writes. */
+    /** Has accepted a newer term and waits for the primary of that term; accepts no writes. */
     FENCED
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/position/LogPosition.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/position/LogPosition.java
@@ -6,7 +6,7 @@
  * A position in the log of a database group, ordered by term and then by offset.
  *
  * @param term term of the primary that wrote the entry, 0 or more
- * @param offset number of log entries up to and including this one, 0 or more
+ * @param offset number of log entries up to and including the entry, 0 or more
  */
 public record LogPosition(long term, long offset) implements Comparable<LogPosition> {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/position/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/position/package-info.java
@@ -1,2 +1,2 @@
-/** Terms and positions in a database group's log. */
+/** Terms and positions in the log of a database group, used by both engines. */
 package org.hyssopswitch.core.position;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Backoff.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Backoff.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Chooses the delay before a retry.
+     * Returns a randomized delay before a retry.
      *
      * @param retry number of the retry, from 1
      * @return milliseconds, 1 or more
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Deadline.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/Deadline.java
@@ -1,14 +1,14 @@
 package org.hyssopswitch.core.retry;
 
 /**
- * The time by which work must end.
+ * The time by which an operation must complete.
  *
  * @param atMillis milliseconds of the monotonic clock
  */
 public record Deadline(long atMillis) {
 
     /**
-     * A deadline some time from now.
+     * Returns the deadline of an operation that starts now.
      *
      * @param nowMillis milliseconds of the monotonic clock
      * @param timeoutMillis milliseconds until the deadline, 0 or more
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Milliseconds that remain, never negative.
+     * Returns the remaining milliseconds, never negative.
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
@@ -39,7 +39,7 @@
     }
 
     /**
-     * The earlier of two deadlines.
+     * Returns the earlier of two deadlines.
      *
      * @param other the other deadline
      */
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryBudget.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryBudget.java
@@ -1,18 +1,18 @@
 package org.hyssopswitch.core.retry;
 
 /**
- * Bounds retries to a fraction of the first attempts, so that a failing endpoint is not loaded further by its callers.
+ * Limits retries to a fraction of the first attempts, so that retries do not add to the load of a failing endpoint.
  * Confined to one thread.
  *
- * <p>A first attempt earns a fraction of a token and a retry spends a whole one. The budget starts empty, so at any
- * time the attempts made are at most {@code 1 + ratio} times the first attempts.
+ * <p>A first attempt deposits a fraction of a token and a retry withdraws a whole one. The budget starts empty, so at
+ * any time the total number of attempts is at most {@code 1 + ratio} times the number of first attempts.
  */
 public final class RetryBudget {
 
-    /** Retries per first attempt: at most 1.1 attempts per statement. */
+    /** Tokens deposited by a first attempt; allows at most 1.1 attempts per statement. */
     public static final double DEFAULT_RATIO = 0.1;
 
-    /** Retries that may be saved up. */
+    /** Maximum number of tokens that the budget accumulates. */
     public static final double DEFAULT_MAX_TOKENS = 50;
 
     private final double ratio;
@@ -27,26 +27,26 @@
     /**
      * Creates a budget.
      *
-     * @param ratio retries earned by a first attempt, 0 to 1
-     * @param maxTokens retries that may be saved up, 1 or more
+     * @param ratio tokens deposited by a first attempt, 0 to 1
+     * @param maxTokens maximum number of tokens that the budget accumulates, 1 or more
      */
     public RetryBudget(double ratio, double maxTokens) {
         if (!(ratio >= 0 && ratio <= 1) || !(maxTokens >= 1)) {
-            throw new IllegalArgumentException("the retry ratio must lie between 0 and 1 and the saved retries be at"
-                    + " least 1, but are " + ratio + " and " + maxTokens);
+            throw new IllegalArgumentException("the retry ratio must be between 0 and 1 and the maximum of tokens at"
+                    + " least 1, but they are " + ratio + " and " + maxTokens);
         }
         this.ratio = ratio;
         this.maxTokens = maxTokens;
     }
 
-    /** Counts a first attempt. */
+    /** Deposits the tokens of a first attempt. */
     public void deposit() {
         tokens = Math.min(maxTokens, tokens + ratio);
     }
 
-    /** Spends a token for a retry; false when there is none. */
+    /** Withdraws a token for a retry; returns false if there is none. */
     public boolean tryWithdraw() {
-        // Sums of a tenth fall short of a whole by rounding.
+        // Ten deposits of 0.1 add up to slightly less than 1 in floating-point arithmetic.
         if (tokens < 1 - 1e-9) {
             return false;
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryDecision.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryDecision.java
@@ -2,20 +2,20 @@
 
 import org.hyssopswitch.core.failure.Execution;
 
-/** What to do after a failed attempt. */
+/** The decision after a failed attempt. */
 public sealed interface RetryDecision {
 
     /**
-     * Try again, elsewhere if possible.
+     * Retry the statement, on another endpoint if possible.
      *
-     * @param delayMillis milliseconds to wait first
+     * @param delayMillis milliseconds to wait before the retry
      */
     record Retry(long delayMillis) implements RetryDecision {}
 
     /**
      * Report the failure to the caller.
      *
-     * @param execution what may truthfully be said of the statement
+     * @param execution what is known about the execution of the statement
      */
     record Report(Execution execution) implements RetryDecision {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryPolicy.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/retry/RetryPolicy.java
@@ -3,14 +3,14 @@
 import org.hyssopswitch.core.failure.Execution;
 
 /**
- * Decides whether a statement is tried again. Confined to one thread.
+ * Decides whether a failed statement is retried. Confined to one thread.
  *
- * <p>A statement that is not repeatable and may have run is never tried again: its outcome is unknown. Everything else
- * is retried while the deadline, the attempts and the retry budget last.
+ * <p>A statement that is not repeatable and may have run is never retried: its outcome is unknown. Any other
+ * statement is retried until its deadline passes or the maximum number of attempts or the retry budget is used up.
  */
 public final class RetryPolicy {
 
-    /** Attempts per statement, the first included. */
+    /** Maximum number of attempts per statement, including the first. */
     public static final int DEFAULT_MAX_ATTEMPTS = 4;
 
     private final int maxAttempts;
@@ -20,26 +20,26 @@
     /**
      * Creates a policy.
      *
-     * @param maxAttempts attempts per statement, 1 or more
-     * @param budget the budget shared by the statements of this VM
-     * @param backoff the delays
+     * @param maxAttempts maximum number of attempts per statement, 1 or more
+     * @param budget the retry budget, shared by all statements of this VM
+     * @param backoff the delays between attempts
      */
     public RetryPolicy(int maxAttempts, RetryBudget budget, Backoff backoff) {
         if (maxAttempts < 1) {
-            throw new IllegalArgumentException("a statement must have 1 attempt or more, but has " + maxAttempts);
+            throw new IllegalArgumentException("maxAttempts must be 1 or more, but is " + maxAttempts);
         }
         this.maxAttempts = maxAttempts;
         this.budget = budget;
         this.backoff = backoff;
     }
 
-    /** Counts a statement's first attempt, which earns budget. */
+    /** Records the first attempt of a statement, which adds to the retry budget. */
     public void recordFirstAttempt() {
         budget.deposit();
     }
 
     /**
-     * Decides after a failed attempt.
+     * Decides whether to retry after a failed attempt.
      *
      * @param attempt the attempt
      * @param nowMillis milliseconds of the monotonic clock
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairQueue.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairQueue.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.core.failure.Refusal;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** The queue under test, weighted by the rates of {@link FairnessSimulation}. */
+/** The {@link DeficitRoundRobinQueue} under test, weighted by the rates of {@link FairnessSimulation}. */
 final class FairQueue implements StatementQueue<FairnessSimulation.WaitingStatement> {
 
     private final DeficitRoundRobinQueue<FairnessSimulation.WaitingStatement> queue =
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessMeasureTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessMeasureTests.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Measures what an account at eight times its rate does to the others, in virtual time and against a single queue. */
+/**
+ * Measures in virtual time how an account at eight times its rate affects the latency of the others, compared with one
+ * queue shared by all accounts.
+ */
 class FairnessMeasureTests {
 
     private static final long SEED = 11;
@@ -27,7 +30,7 @@
         assertEquals(0, overloaded.refusedOthers());
         assertEquals(0, overloadedWithoutLimiter.refusedOthers());
         assertTrue(overloaded.worstP99Ratio(baseline) <= 1.25, "ratio " + overloaded.worstP99Ratio(baseline));
-        assertTrue(fifoOverloaded.worstP99Ratio(fifoBaseline) > 1.25, "the baseline must show the harm");
+        assertTrue(fifoOverloaded.worstP99Ratio(fifoBaseline) > 1.25, "the shared queue must exceed the limit");
     }
 
     private static void print(String name, FairnessSimulation baseline, FairnessSimulation overloaded) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessSimulation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/FairnessSimulation.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.core.limit.EvenSplitRateLimiter;
 import org.hyssopswitch.core.limit.RateLimiter;
 
-/** Statements of eight accounts at one endpoint of three slots, in steps of a tenth of a millisecond. */
+/** Simulates statements of eight accounts at one endpoint with three slots, in steps of a tenth of a millisecond. */
 final class FairnessSimulation {
 
     private static final double[] RATES = {120, 90, 60, 30, 20, 15, 10, 5};
@@ -40,7 +40,7 @@
         this.serviceTimes = new SplittableRandom(seed + 1);
     }
 
-    /** Runs with the largest account at a multiple of its rate. */
+    /** Runs the simulation with the account of the highest rate at a multiple of its rate. */
     static FairnessSimulation run(
             StatementQueue<WaitingStatement> queue, Optional<RateLimiter> limiter, double rateMultiple, long seed) {
         FairnessSimulation run = new FairnessSimulation(queue, limiter, seed);
@@ -54,7 +54,7 @@
         return run;
     }
 
-    /** A limiter that holds the whole rates. */
+    /** Returns a limiter that enforces the full rate of every account. */
     static RateLimiter limiter() {
         EvenSplitRateLimiter limiter = new EvenSplitRateLimiter(1);
         TeamId team = new TeamId("team");
@@ -140,6 +140,6 @@
         return sorted.get((int) (sorted.size() * 0.99));
     }
 
-    /** A statement that waits. */
+    /** A statement that waits for a slot. */
     record WaitingStatement(ClientAccountId account, double arrivedMillis, long deadlineMillis) {}
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/SharedFifoQueue.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/fairness/SharedFifoQueue.java
@@ -10,7 +10,7 @@
 import org.hyssopswitch.core.failure.Refusal;
 import org.hyssopswitch.core.identity.ClientAccountId;
 
-/** The baseline: one queue for all client accounts, first come first served, with the same bound in total. */
+/** The baseline: one first-in-first-out queue for all client accounts, with the same total limit. */
 final class SharedFifoQueue implements StatementQueue<FairnessSimulation.WaitingStatement> {
 
     private final Deque<FairnessSimulation.WaitingStatement> queue = new ArrayDeque<>();
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/key/KeyCheckUtilsTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/key/KeyCheckUtilsTests.java
@@ -83,7 +83,7 @@
         assertTrue(StalenessPolicy.serveLastKnown().check(86_400_000).isEmpty());
     }
 
-    /** The exchange that RFC 7677 gives as an example. */
+    /** Uses the example exchange of RFC 7677. */
     @Test
     void scramMatchesExampleOfRfc7677() {
         byte[] salt = Base64.getDecoder().decode("W22ZaJ0SNY7soEsUEjb6gQ==");
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/key/package-info.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/key/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of authentication by keys. */
+/** Tests of the authentication of callers by keys. */
 package org.hyssopswitch.core.key;
