--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/drain/DrainSystem.java
@@ -6,64 +6,64 @@
 import org.hyssopswitch.core.limit.LimitSystem;
 
 /**
- * Stops a VM gracefully: announces that it leaves, so that others give it no new work, and hands back its shares and
- * slots while what runs is finished.
+ * Shuts a VM down gracefully: announces that it is leaving, so that the other VMs give it no new work, and releases its
+ * limit slots and rate shares while running statements complete.
  */
 public final class DrainSystem implements DecisionSystem {
 
-    /** Time after which a VM no longer waits for the platform to take back its slots. */
-    public static final long HAND_BACK_TIMEOUT_MILLIS = 10_000;
+    /** Longest wait for the platform to record that this VM no longer owns its slots, in milliseconds. */
+    public static final long SLOT_RELEASE_TIMEOUT_MILLIS = 10_000;
 
-    private final Runnable announcement;
+    private final Runnable leaveAnnouncement;
     private final LimitSystem limits;
     private DrainPhase phase = DrainPhase.RUNNING;
-    private boolean requested;
-    private long sinceMillis;
+    private boolean drainRequested;
+    private long drainStartMillis;
 
     /**
      * Creates a system in the running phase.
      *
-     * @param announcement announces to the other VMs that this VM leaves
-     * @param limits the shares and slots to hand back
+     * @param leaveAnnouncement announces to the other VMs that this VM is leaving
+     * @param limits the owner of the slots and shares to release
      */
-    public DrainSystem(Runnable announcement, LimitSystem limits) {
-        this.announcement = announcement;
+    public DrainSystem(Runnable leaveAnnouncement, LimitSystem limits) {
+        this.leaveAnnouncement = leaveAnnouncement;
         this.limits = limits;
     }
 
-    /** Begins to leave at the next tick. Further calls change nothing. */
+    /** Requests the drain, which starts with the next tick. Further calls have no effect. */
     public void requestDrain() {
-        requested = true;
+        drainRequested = true;
     }
 
-    /** How far the stop has come. */
+    /** Returns the phase of the shutdown. */
     public DrainPhase phase() {
         return phase;
     }
 
-    /** Whether the VM takes new callers and new transactions. */
+    /** Whether the VM accepts new callers and new transactions. */
     public boolean acceptsWork() {
-        return !requested;
+        return !drainRequested;
     }
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        if (requested && phase == DrainPhase.RUNNING) {
-            phase = DrainPhase.LEAVING;
-            sinceMillis = nowMillis;
-            announcement.run();
+        if (drainRequested && phase == DrainPhase.RUNNING) {
+            phase = DrainPhase.DRAINING;
+            drainStartMillis = nowMillis;
+            leaveAnnouncement.run();
         }
-        if (phase == DrainPhase.LEAVING) {
+        if (phase == DrainPhase.DRAINING) {
             limits.releaseSlots(nowMillis, out);
-            boolean timedOut = nowMillis - sinceMillis >= HAND_BACK_TIMEOUT_MILLIS;
+            boolean timedOut = nowMillis - drainStartMillis >= SLOT_RELEASE_TIMEOUT_MILLIS;
             if (limits.isReleased() || timedOut) {
-                phase = DrainPhase.DONE;
+                phase = DrainPhase.DRAINED;
             }
         }
     }
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        // Only time moves a stop on.
+        // Only ticks advance the drain.
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/fairness/DeficitRoundRobinQueue.java
@@ -18,34 +18,34 @@
  *
  * <p>Every round gives each waiting account a quantum of at most one statement, in proportion to its weight, so that an
  * account with few statements waits for at most one statement of each other account per quantum. When the queue is
- * full, a statement of the account with the most waiting statements per weight is shed: the offered one, or the newest
- * of that account.
+ * full, a statement of the account with the most waiting statements per weight is shed: the offered one if it is of
+ * that account, otherwise the newest one of that account.
  *
  * @param <T> what is queued
  */
 public final class DeficitRoundRobinQueue<T> implements StatementQueue<T> {
 
     private static final double MIN_QUANTUM = 1.0 / 64;
-    private static final double INTERVAL_SMOOTHING = 0.1;
-    private static final long MIN_RETRY_MILLIS = 10;
-    private static final long MAX_RETRY_MILLIS = 5_000;
+    private static final double POLL_INTERVAL_SMOOTHING = 0.1;
+    private static final long MIN_RETRY_AFTER_MILLIS = 10;
+    private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
 
     private final ToDoubleFunction<ClientAccountId> weights;
     private final QueueLimits limits;
     private final Map<ClientAccountId, AccountQueue<T>> queues = new HashMap<>();
-    private final Deque<AccountQueue<T>> round = new ArrayDeque<>();
+    private final Deque<AccountQueue<T>> activeQueues = new ArrayDeque<>();
     private final List<T> dropped = new ArrayList<>();
     private int size;
     private double maxWeight;
     private long earliestDeadlineMillis = Long.MAX_VALUE;
     private long lastPollMillis = -1;
-    private double intervalMillis = 1;
+    private double meanPollIntervalMillis = 1;
 
     /**
      * Creates an empty queue.
      *
      * @param weights the declared rate of a client account, in statements per second
-     * @param limits the bounds
+     * @param limits the bounds of the queue
      */
     public DeficitRoundRobinQueue(ToDoubleFunction<ClientAccountId> weights, QueueLimits limits) {
         this.weights = weights;
@@ -76,19 +76,18 @@
             lastPollMillis = -1;
             return Optional.empty();
         }
-        observePoll(nowMillis);
-        AccountQueue<T> queue = nextInTurn();
+        recordPollInterval(nowMillis);
+        AccountQueue<T> queue = nextQueue();
         T item = queue.dequeue();
         size--;
         if (queue.size() == 0) {
             deactivate(queue);
         } else if (!queue.canDequeue()) {
-            round.addLast(round.removeFirst());
+            activeQueues.addLast(activeQueues.removeFirst());
         }
         return Optional.of(item);
     }
 
-    /** {@inheritDoc} Statements that were shed for lack of room are returned too. */
     @Override
     public List<T> removeDropped(long nowMillis) {
         dropExpired(nowMillis);
@@ -102,50 +101,53 @@
         return size;
     }
 
-    /** Frees a place by shedding from the account that exceeds most; false when that is the offering account. */
+    /**
+     * Makes room for a statement, if necessary by shedding one of the account with the longest backlog per weight.
+     * Returns false if that is the offering account.
+     */
     private boolean makeRoom(AccountQueue<T> offering) {
         if (size < limits.total()) {
             return true;
         }
-        AccountQueue<T> worst = queues.values().stream()
+        AccountQueue<T> longest = queues.values().stream()
                 .max(Comparator.comparingDouble((AccountQueue<T> q) -> q.backlogPerWeight())
                         .thenComparing(AccountQueue::account))
                 .orElse(offering);
-        if (worst == offering || worst.backlogPerWeight() <= (offering.size() + 1) / offering.weight()) {
+        if (longest == offering || longest.backlogPerWeight() <= (offering.size() + 1) / offering.weight()) {
             return false;
         }
-        dropped.add(worst.removeNewest());
+        dropped.add(longest.removeNewest());
         size--;
-        if (worst.size() == 0) {
-            deactivate(worst);
+        if (longest.size() == 0) {
+            deactivate(longest);
         }
         return true;
     }
 
-    /** Finds the first account in turn that affords a statement, giving quanta on the way. */
-    private AccountQueue<T> nextInTurn() {
-        AccountQueue<T> head = round.peekFirst();
+    /** Returns the next account whose deficit covers a statement; adds a quantum to each account that it visits. */
+    private AccountQueue<T> nextQueue() {
+        AccountQueue<T> head = activeQueues.peekFirst();
         while (!head.canDequeue()) {
             if (head.addQuantum(Math.max(MIN_QUANTUM, head.weight() / maxWeight))) {
                 return head;
             }
-            round.addLast(round.removeFirst());
-            head = round.peekFirst();
+            activeQueues.addLast(activeQueues.removeFirst());
+            head = activeQueues.peekFirst();
         }
         return head;
     }
 
     private void activate(AccountQueue<T> queue) {
         if (queues.putIfAbsent(queue.account(), queue) == null) {
-            round.addLast(queue);
+            activeQueues.addLast(queue);
             maxWeight = Math.max(maxWeight, queue.weight());
         }
     }
 
-    /** Forgets an account without waiting statements, and its deficit with it. */
+    /** Removes an account that has no waiting statements, and discards its deficit. */
     private void deactivate(AccountQueue<T> queue) {
         queues.remove(queue.account());
-        round.remove(queue);
+        activeQueues.remove(queue);
         if (queue.weight() >= maxWeight) {
             maxWeight = queues.values().stream()
                     .mapToDouble(AccountQueue::weight)
@@ -169,19 +171,19 @@
         size -= dropped.size() - before;
     }
 
-    private void observePoll(long nowMillis) {
+    private void recordPollInterval(long nowMillis) {
         if (lastPollMillis >= 0) {
-            intervalMillis += INTERVAL_SMOOTHING * (nowMillis - lastPollMillis - intervalMillis);
+            meanPollIntervalMillis += POLL_INTERVAL_SMOOTHING * (nowMillis - lastPollMillis - meanPollIntervalMillis);
         }
         lastPollMillis = nowMillis;
     }
 
-    /** The time in which the account's waiting statements are expected to be served. */
+    /** Returns the expected time until the account's waiting statements are served, from the mean interval of polls. */
     private long retryAfterMillis(AccountQueue<T> queue) {
         double total =
                 queues.values().stream().mapToDouble(AccountQueue::weight).sum();
         double share = total > 0 ? Math.min(1, queue.weight() / total) : 1;
-        double wait = (queue.size() + 1) * intervalMillis / share;
-        return Math.round(Math.min((double) MAX_RETRY_MILLIS, Math.max((double) MIN_RETRY_MILLIS, wait)));
+        double wait = (queue.size() + 1) * meanPollIntervalMillis / share;
+        return Math.round(Math.min((double) MAX_RETRY_AFTER_MILLIS, Math.max((double) MIN_RETRY_AFTER_MILLIS, wait)));
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/ScramUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/key/ScramUtils.java
@@ -30,14 +30,14 @@
      * @param iterations PBKDF2 iterations
      */
     public static KeyVerifier derive(KeyId id, String key, byte[] salt, int iterations) {
-        byte[] salted = salt(key, salt, iterations);
-        byte[] storedKey = hash(hmac(salted, "Client Key"));
-        byte[] serverKey = hmac(salted, "Server Key");
+        byte[] saltedPassword = saltPassword(key, salt, iterations);
+        byte[] storedKey = hash(hmac(saltedPassword, "Client Key"));
+        byte[] serverKey = hmac(saltedPassword, "Server Key");
         return new KeyVerifier(id, encode(salt), iterations, encode(storedKey), encode(serverKey));
     }
 
     /**
-     * Checks a key that was received in the clear, in constant time.
+     * Checks a key that was received in clear text. The comparison takes constant time.
      *
      * @param key the key
      * @param verifier the verifier
@@ -46,16 +46,16 @@
         if (key.isEmpty()) {
             return false;
         }
-        byte[] salted = salt(key, Base64.getDecoder().decode(verifier.salt()), verifier.iterations());
+        byte[] saltedPassword = saltPassword(key, Base64.getDecoder().decode(verifier.salt()), verifier.iterations());
         byte[] expected = Base64.getDecoder().decode(verifier.storedKey());
-        return MessageDigest.isEqual(expected, hash(hmac(salted, "Client Key")));
+        return MessageDigest.isEqual(expected, hash(hmac(saltedPassword, "Client Key")));
     }
 
     /**
-     * Checks the client proof of an exchange, in constant time.
+     * Checks the client proof of a SCRAM exchange. The comparison takes constant time.
      *
-     * @param authMessage the messages of the exchange, as RFC 5802 joins them
-     * @param proof the proof of the client
+     * @param authMessage the {@code AuthMessage} of the exchange, as defined by RFC 5802
+     * @param proof the {@code ClientProof}
      * @param verifier the verifier
      */
     public static boolean verifyProof(String authMessage, byte[] proof, KeyVerifier verifier) {
@@ -72,16 +72,16 @@
     }
 
     /**
-     * Computes the signature by which the server proves that it has the verifier.
+     * Computes the {@code ServerSignature}, which proves to the client that the server has the verifier.
      *
-     * @param authMessage the messages of the exchange
+     * @param authMessage the {@code AuthMessage} of the exchange, as defined by RFC 5802
      * @param verifier the verifier
      */
     public static byte[] serverSignature(String authMessage, KeyVerifier verifier) {
         return hmac(Base64.getDecoder().decode(verifier.serverKey()), authMessage);
     }
 
-    private static byte[] salt(String key, byte[] salt, int iterations) {
+    private static byte[] saltPassword(String key, byte[] salt, int iterations) {
         try {
             KeySpec spec = new PBEKeySpec(key.toCharArray(), salt, iterations, HASH_BITS);
             return SecretKeyFactory.getInstance("PBKDF2WithHmacSHA256")
