--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ClusterSystems.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ClusterSystems.java
@@ -82,21 +82,21 @@
             ToIntFunction<EndpointId> load,
             SuspicionPolicy policy,
             FailoverSettings settings) {
-        MembershipSystem view = new MembershipSystem(self, seeds, MembershipSettings.DEFAULT, random);
-        HomeResolver homes = new RendezvousHomeResolver(view);
+        MembershipSystem membership = new MembershipSystem(self, seeds, MembershipSettings.DEFAULT, random);
+        HomeResolver homes = new RendezvousHomeResolver(membership);
         EndpointTable endpoints = new EndpointTable();
         GroupTable groups = new GroupTable();
         ControlRouter router = new ControlRouter(self, homes, endpoints, numbers);
         HintSystem hints = new HintSystem(self, homes, endpoints, HintSystem.DEFAULT_HINTS_PER_SECOND, random);
-        GroupMonitorSystem monitor =
-                new GroupMonitorSystem(view, homes, endpoints, groups, router, settings, random, load, hints::isInUse);
+        GroupMonitorSystem monitor = new GroupMonitorSystem(
+                membership, homes, endpoints, groups, router, settings, random, load, hints::isInUse);
         PromotionSystem promotion =
                 new PromotionSystem(self, monitor, groups, router, policy, settings, numbers, random);
         MajorityCommitConfirmer confirmer = new MajorityCommitConfirmer(router, endpoints);
         SessionFloorSystem floors = new SessionFloorSystem(self, homes, endpoints, router, confirmer, numbers);
         EndpointSelector selector =
                 new DefaultEndpointSelector(endpoints, self.dataCentre(), SelectionWaits.DEFAULT, random);
-        List<DecisionSystem> systems = List.of(view, router, monitor, promotion, confirmer, floors, hints);
-        return new ClusterSystems(view, homes, endpoints, selector, confirmer, floors, promotion, systems);
+        List<DecisionSystem> systems = List.of(membership, router, monitor, promotion, confirmer, floors, hints);
+        return new ClusterSystems(membership, homes, endpoints, selector, confirmer, floors, promotion, systems);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
@@ -25,8 +25,8 @@
             return new ControlCall(id, endpoint, ControlKind.FENCE, fence.term(), 0, fence.orderer(), timeoutMillis);
         }
         if (request instanceof ControlRequest.Promote promote) {
-            String orderer = promote.orderer();
-            return new ControlCall(id, endpoint, ControlKind.PROMOTE, promote.term(), 0, orderer, timeoutMillis);
+            String coordinator = promote.orderer();
+            return new ControlCall(id, endpoint, ControlKind.PROMOTE, promote.term(), 0, coordinator, timeoutMillis);
         }
         if (request instanceof ControlRequest.Follow follow) {
             String primary = follow.primary().value();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCallback.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCallback.java
@@ -7,5 +7,5 @@
 interface ControlCallback {
 
     /** Called exactly once per call, also when it timed out. */
-    void ended(ControlOutcome outcome, long nowMillis, Outbox out);
+    void onOutcome(ControlOutcome outcome, long nowMillis, Outbox out);
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlOutcome.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlOutcome.java
@@ -36,7 +36,7 @@
     }
 
     /** Whether the endpoint is known to have accepted a higher term. */
-    boolean hasLeft(long term) {
+    boolean hasAcceptedTermAbove(long term) {
         return status.filter(s -> s.acceptedTerm() > term).isPresent();
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
@@ -24,14 +24,14 @@
 public final class ControlRouter implements DecisionSystem {
 
     private static final int MAX_SERVED_CALLS = 4_096;
-    private static final long ANSWER_MARGIN_MILLIS = 100;
+    private static final long RESPONSE_MARGIN_MILLIS = 100;
 
     private final VmAddress self;
     private final HomeResolver homes;
     private final EndpointTable endpoints;
     private final LongSupplier numbers;
-    private final Map<Long, Pending> pending = new LinkedHashMap<>();
-    private final Map<Long, Served> served = new LinkedHashMap<>();
+    private final Map<Long, PendingCall> pending = new LinkedHashMap<>();
+    private final Map<Long, ServedCall> served = new LinkedHashMap<>();
 
     /**
      * Creates a router.
@@ -59,13 +59,13 @@
             Outbox out) {
         List<VmAddress> ranked = homes.homes(endpoint);
         if (ranked.isEmpty()) {
-            callback.ended(ControlOutcome.FAILED, nowMillis, out);
+            callback.onOutcome(ControlOutcome.FAILED, nowMillis, out);
             return;
         }
         VmAddress home = ranked.get(attempt % ranked.size());
         long number = numbers.getAsLong();
-        long deadline = nowMillis + timeoutMillis + ANSWER_MARGIN_MILLIS;
-        pending.put(number, new Pending(home, deadline, callback));
+        long deadline = nowMillis + timeoutMillis + RESPONSE_MARGIN_MILLIS;
+        pending.put(number, new PendingCall(home, deadline, callback));
         if (home.equals(self)) {
             out.add(new Action.CallEndpoint(number, endpoint.id(), request, timeoutMillis));
         } else {
@@ -78,18 +78,18 @@
     public void tick(long nowMillis, Outbox out) {
         List.copyOf(pending.entrySet()).stream()
                 .filter(e -> nowMillis >= e.getValue().deadlineMillis())
-                .forEach(e -> end(e.getKey(), ControlOutcome.FAILED, nowMillis, out));
+                .forEach(e -> complete(e.getKey(), ControlOutcome.FAILED, nowMillis, out));
         served.values().removeIf(s -> nowMillis >= s.deadlineMillis());
     }
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
         if (event instanceof Event.EndpointAnswered answered) {
-            onEndpoint(answered, nowMillis, out);
+            onEndpointAnswer(answered, nowMillis, out);
         } else if (event instanceof Event.LinkFailed failed) {
             List.copyOf(pending.entrySet()).stream()
                     .filter(e -> e.getValue().home().equals(failed.to()))
-                    .forEach(e -> end(e.getKey(), ControlOutcome.FAILED, nowMillis, out));
+                    .forEach(e -> complete(e.getKey(), ControlOutcome.FAILED, nowMillis, out));
         } else if (event instanceof Event.MessageReceived received) {
             onMessage(received, nowMillis, out);
         }
@@ -99,9 +99,9 @@
         if (received.message() instanceof ControlCall call) {
             serve(received.from(), call, nowMillis, out);
         } else if (received.message() instanceof ControlAnswer answer) {
-            Pending call = pending.get(answer.id());
+            PendingCall call = pending.get(answer.id());
             if (call != null && call.home().equals(received.from())) {
-                end(answer.id(), ControlOutcome.of(answer), nowMillis, out);
+                complete(answer.id(), ControlOutcome.of(answer), nowMillis, out);
             }
         }
     }
@@ -112,24 +112,24 @@
             return;
         }
         long number = numbers.getAsLong();
-        long deadline = nowMillis + call.timeoutMillis() + ANSWER_MARGIN_MILLIS;
-        served.put(number, new Served(from, call.id(), deadline));
+        long deadline = nowMillis + call.timeoutMillis() + RESPONSE_MARGIN_MILLIS;
+        served.put(number, new ServedCall(from, call.id(), deadline));
         out.add(new Action.CallEndpoint(number, call.endpoint(), call.request(), call.timeoutMillis()));
     }
 
-    private void onEndpoint(Event.EndpointAnswered answered, long nowMillis, Outbox out) {
+    private void onEndpointAnswer(Event.EndpointAnswered answered, long nowMillis, Outbox out) {
         ControlOutcome outcome = ControlOutcome.of(answered.result().map(r -> r));
         // awaits tell the position of a replica far more often than polls do
         outcome.status().ifPresent(status -> endpoints.observeApplied(status.endpoint(), status.applied()));
-        Served origin = served.remove(answered.call());
+        ServedCall origin = served.remove(answered.call());
         if (origin != null) {
             out.add(new Action.SendMessage(origin.from(), outcome.toAnswer(origin.id())));
         }
-        end(answered.call(), outcome, nowMillis, out);
+        complete(answered.call(), outcome, nowMillis, out);
     }
 
-    private void end(long number, ControlOutcome outcome, long nowMillis, Outbox out) {
-        Optional.ofNullable(pending.remove(number)).ifPresent(p -> p.callback().ended(outcome, nowMillis, out));
+    private void complete(long number, ControlOutcome outcome, long nowMillis, Outbox out) {
+        Optional.ofNullable(pending.remove(number)).ifPresent(p -> p.callback().onOutcome(outcome, nowMillis, out));
     }
 
     private boolean isHome(EndpointId endpoint) {
@@ -139,7 +139,7 @@
                 .isPresent();
     }
 
-    private record Pending(VmAddress home, long deadlineMillis, ControlCallback callback) {}
+    private record PendingCall(VmAddress home, long deadlineMillis, ControlCallback callback) {}
 
-    private record Served(VmAddress from, long id, long deadlineMillis) {}
+    private record ServedCall(VmAddress from, long id, long deadlineMillis) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/DefaultSuspicionPolicy.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/DefaultSuspicionPolicy.java
@@ -11,7 +11,7 @@
  *
  * <p>Slow answers to statements or status calls never count: a replica counts only with its own, freshly reported
  * contact age. While the primary still answers its home, the contact must have been lost for longer, because then
- * replication alone may be disturbed. A primary that is silent itself counts as one of the majority when at least one
+ * replication alone may be disturbed. A primary that is unresponsive itself counts as one of the majority when at least one
  * replica has lost contact.
  *
  * <p>A promotion is due as well when no VM has reported a primary for long, when a fence was left behind without a promotion, and when the primary is declared as
@@ -33,62 +33,66 @@
     }
 
     @Override
-    public PromotionNeed need(DatabaseDeclaration database, GroupTable table, long nowMillis) {
+    public RequiredPromotion evaluate(DatabaseDeclaration database, GroupTable table, long nowMillis) {
         List<GroupRow> fresh = table.rows(database).stream()
-                .filter(r -> r.isFresh(nowMillis, settings.reportAgeMillis()))
+                .filter(r -> r.isFresh(nowMillis, settings.maxReportAgeMillis()))
                 .toList();
         Optional<GroupRow> primary = table.primary(database);
         boolean replace = hasLostContact(database, fresh, primary, nowMillis)
-                || hasNoHome(database, fresh, primary, nowMillis)
-                || isLeaving(database, fresh, primary);
+                || isPrimaryUnreported(database, fresh, primary, nowMillis)
+                || isLeavingPrimaryReplaceable(database, fresh, primary);
         if (replace) {
-            return PromotionNeed.REPLACE;
+            return RequiredPromotion.REPLACE;
         }
-        return hasStuckFence(fresh, primary, nowMillis) ? PromotionNeed.REPAIR : PromotionNeed.NONE;
+        return hasAbandonedFence(fresh, primary, nowMillis) ? RequiredPromotion.REPAIR : RequiredPromotion.NONE;
     }
 
     private boolean hasLostContact(
             DatabaseDeclaration database, List<GroupRow> fresh, Optional<GroupRow> primary, long nowMillis) {
-        boolean answering = primary.filter(p -> p.isFresh(nowMillis, settings.silentContactMillis()))
+        boolean responsive = primary.filter(p -> p.isFresh(nowMillis, settings.unresponsivePrimaryContactMillis()))
                 .isPresent();
-        long threshold = answering ? settings.answeringContactMillis() : settings.silentContactMillis();
+        long threshold =
+                responsive ? settings.responsivePrimaryContactMillis() : settings.unresponsivePrimaryContactMillis();
         long term = primary.map(p -> p.status().acceptedTerm()).orElse(0L);
         long lost = fresh.stream()
                 .map(GroupRow::status)
                 .filter(s -> s.role() == EndpointRole.REPLICA && s.contactAgeMillis() >= threshold)
                 .filter(s -> s.acceptedTerm() >= term)
                 .count();
-        boolean silent = primary.filter(p -> p.silentMillis() >= settings.silentContactMillis())
-                .filter(p -> nowMillis - p.receivedMillis() <= settings.reportAgeMillis())
+        boolean unresponsive = primary.filter(
+                        p -> p.unresponsiveMillis() >= settings.unresponsivePrimaryContactMillis())
+                .filter(p -> nowMillis - p.receivedMillis() <= settings.maxReportAgeMillis())
                 .isPresent();
-        return lost >= database.majority() || (silent && lost >= 1 && lost + 1 >= database.majority());
+        return lost >= database.majority() || (unresponsive && lost >= 1 && lost + 1 >= database.majority());
     }
 
     /**
      * Whether no VM has reported a primary for long, so that nobody could reach it although its replicas do. A primary
      * that this VM never heard of is given more time, since reports may only begin to arrive after a start.
      */
-    private boolean hasNoHome(
+    private boolean isPrimaryUnreported(
             DatabaseDeclaration database, List<GroupRow> fresh, Optional<GroupRow> primary, long nowMillis) {
-        long patience =
-                primary.isPresent() ? settings.homelessMillis() : settings.homelessMillis() * UNKNOWN_PRIMARY_FACTOR;
+        long timeoutMillis = primary.isPresent()
+                ? settings.unreportedPrimaryMillis()
+                : settings.unreportedPrimaryMillis() * UNKNOWN_PRIMARY_FACTOR;
         long others = fresh.stream()
-                .filter(r -> !r.isPrimary() && nowMillis - r.roleSinceMillis() >= patience)
+                .filter(r -> !r.isPrimary() && nowMillis - r.roleSinceMillis() >= timeoutMillis)
                 .count();
-        boolean reported =
-                primary.filter(p -> nowMillis - p.receivedMillis() < patience).isPresent();
+        boolean reported = primary.filter(p -> nowMillis - p.receivedMillis() < timeoutMillis)
+                .isPresent();
         return !reported && others >= database.majority();
     }
 
-    private boolean hasStuckFence(List<GroupRow> fresh, Optional<GroupRow> primary, long nowMillis) {
+    private boolean hasAbandonedFence(List<GroupRow> fresh, Optional<GroupRow> primary, long nowMillis) {
         long term = primary.map(p -> p.status().acceptedTerm()).orElse(0L);
         return fresh.stream()
                 .filter(r ->
                         r.status().role() == EndpointRole.FENCED && r.status().acceptedTerm() > term)
-                .anyMatch(r -> nowMillis - r.roleSinceMillis() >= settings.stuckFenceMillis());
+                .anyMatch(r -> nowMillis - r.roleSinceMillis() >= settings.abandonedFenceMillis());
     }
 
-    private static boolean isLeaving(DatabaseDeclaration database, List<GroupRow> fresh, Optional<GroupRow> primary) {
+    private static boolean isLeavingPrimaryReplaceable(
+            DatabaseDeclaration database, List<GroupRow> fresh, Optional<GroupRow> primary) {
         boolean leaving = primary.filter(p -> database.endpoints().stream()
                         .anyMatch(e -> e.leaving() && e.id().equals(p.status().endpoint())))
                 .isPresent();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLease.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLease.java
@@ -9,12 +9,12 @@
 /**
  * The content of the platform object that keeps orderers of one group from getting in each other's way.
  *
- * <p>The lease only saves attempts; safety rests on the endpoints, which accept a term from one orderer.
+ * <p>The lease only saves attempts; safety rests on the endpoints, which accept a term from one coordinator.
  *
- * @param orderer who orders the promotion
+ * @param coordinator who orders the promotion
  * @param term the term it orders
  */
-record FailoverLease(String orderer, long term) {
+record FailoverLease(String coordinator, long term) {
 
     private static final Pattern FORM = Pattern.compile("v1 (\\S{1,200}) (\\d{1,18})");
 
@@ -23,7 +23,7 @@
     }
 
     byte[] encode() {
-        return ("v1 " + orderer + " " + term).getBytes(StandardCharsets.UTF_8);
+        return ("v1 " + coordinator + " " + term).getBytes(StandardCharsets.UTF_8);
     }
 
     /** Reads a lease; an object that holds none, or something unreadable, gives nothing. */
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/LeaseClaim.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLeaseClaim.java
@@ -13,7 +13,7 @@
  * Claims the failover lease of one group: reads it, updates it on condition, and re-reads it when the answer to the
  * update was lost.
  */
-final class LeaseClaim {
+final class FailoverLeaseClaim {
 
     /** How the claim stands. */
     enum State {
@@ -21,14 +21,14 @@
         PENDING,
         /** The lease is held. */
         HELD,
-        /** Another orderer holds the lease or took it in between. */
+        /** Another coordinator holds the lease or took it in between. */
         TAKEN,
         /** The platform does not answer; the promotion goes on without the lease. */
         UNREACHABLE
     }
 
     private final String path;
-    private final String orderer;
+    private final String coordinator;
     private final LongSupplier numbers;
     private long knownTerm;
     private long call;
@@ -40,13 +40,13 @@
      * Creates a claim.
      *
      * @param database the group
-     * @param orderer this orderer
+     * @param coordinator this coordinator
      * @param knownTerm the highest term known of the group; a lease of a term up to it has served its purpose
      * @param numbers numbers the calls
      */
-    LeaseClaim(DatabaseId database, String orderer, long knownTerm, LongSupplier numbers) {
+    FailoverLeaseClaim(DatabaseId database, String coordinator, long knownTerm, LongSupplier numbers) {
         this.path = FailoverLease.path(database);
-        this.orderer = orderer;
+        this.coordinator = coordinator;
         this.knownTerm = knownTerm;
         this.numbers = numbers;
     }
@@ -72,20 +72,20 @@
         }
     }
 
-    void answered(long number, Either<PlatformFailure, StoredObject> result, boolean ignoreHolder, Outbox out) {
+    void onAnswer(long number, Either<PlatformFailure, StoredObject> result, boolean ignoreHolder, Outbox out) {
         if (number != call || state != State.PENDING) {
             return;
         }
         if (result.isLeft()) {
-            failed(result.getLeft(), out);
+            onFailure(result.getLeft(), out);
         } else if (updating) {
             state = State.HELD;
         } else {
-            read(result.get(), ignoreHolder, out);
+            onLeaseRead(result.get(), ignoreHolder, out);
         }
     }
 
-    private void failed(PlatformFailure failure, Outbox out) {
+    private void onFailure(PlatformFailure failure, Outbox out) {
         if (failure instanceof PlatformFailure.VersionConflict) {
             state = State.TAKEN;
         } else if (failure instanceof PlatformFailure.NoAnswer && updating) {
@@ -97,9 +97,9 @@
         }
     }
 
-    private void read(StoredObject object, boolean ignoreHolder, Outbox out) {
+    private void onLeaseRead(StoredObject object, boolean ignoreHolder, Outbox out) {
         Optional<FailoverLease> lease = FailoverLease.decode(object.value());
-        boolean own = lease.filter(l -> l.orderer().equals(orderer)).isPresent();
+        boolean own = lease.filter(l -> l.coordinator().equals(coordinator)).isPresent();
         if (rereading) {
             state = own ? State.HELD : State.TAKEN;
             return;
@@ -112,7 +112,7 @@
         knownTerm = Math.max(knownTerm, leaseTerm);
         updating = true;
         call = numbers.getAsLong();
-        byte[] value = new FailoverLease(orderer, knownTerm + 1).encode();
+        byte[] value = new FailoverLease(coordinator, knownTerm + 1).encode();
         out.add(new Action.UpdateObject(call, path, object.version(), value));
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverSettings.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverSettings.java
@@ -6,25 +6,25 @@
  * @param activePollMillis time between two status calls to an endpoint in use or in doubt
  * @param idlePollMillis time between two status calls to an endpoint that nobody uses, and between two reports
  *     without news
- * @param doubtMillis age of the replication contact from which a replica is polled as in doubt
- * @param silentContactMillis age of the replication contact that counts as lost while the primary's home is silent
+ * @param suspectContactMillis age of the replication contact from which a replica is polled as in doubt
+ * @param unresponsivePrimaryContactMillis age of the replication contact that counts as lost while the primary's home is silent
  *     or reports the primary as silent
- * @param answeringContactMillis age of the replication contact that counts as lost while the primary answers its home
- * @param reportAgeMillis age up to which a report of an endpoint in doubt counts
- * @param homelessMillis time without any report of a primary after which it is replaced although its replicas are in
+ * @param responsivePrimaryContactMillis age of the replication contact that counts as lost while the primary answers its home
+ * @param maxReportAgeMillis age up to which a report of an endpoint in doubt counts
+ * @param unreportedPrimaryMillis time without any report of a primary after which it is replaced although its replicas are in
  *     contact with it
- * @param stuckFenceMillis time after which a fence without a promotion is taken as abandoned
+ * @param abandonedFenceMillis time after which a fence without a promotion is taken as abandoned
  * @param rankDelayMillis delay of each further orderer
  */
 public record FailoverSettings(
         long activePollMillis,
         long idlePollMillis,
-        long doubtMillis,
-        long silentContactMillis,
-        long answeringContactMillis,
-        long reportAgeMillis,
-        long homelessMillis,
-        long stuckFenceMillis,
+        long suspectContactMillis,
+        long unresponsivePrimaryContactMillis,
+        long responsivePrimaryContactMillis,
+        long maxReportAgeMillis,
+        long unreportedPrimaryMillis,
+        long abandonedFenceMillis,
         long rankDelayMillis) {
 
     /** Promotes about a second after the primary was cut off. */
@@ -33,21 +33,23 @@
 
     /** Checks the ranges. */
     public FailoverSettings {
-        if (activePollMillis < 1 || idlePollMillis < activePollMillis || doubtMillis < 1) {
+        if (activePollMillis < 1 || idlePollMillis < activePollMillis || suspectContactMillis < 1) {
             throw new IllegalArgumentException("polls must satisfy 1 <= active <= idle and doubt >= 1, but are "
-                    + activePollMillis + ", " + idlePollMillis + " and " + doubtMillis);
+                    + activePollMillis + ", " + idlePollMillis + " and " + suspectContactMillis);
         }
-        if (silentContactMillis < doubtMillis || answeringContactMillis < silentContactMillis) {
-            throw new IllegalArgumentException("contact ages must satisfy doubt <= silent <= answering, but are "
-                    + doubtMillis + ", " + silentContactMillis + " and " + answeringContactMillis);
+        if (unresponsivePrimaryContactMillis < suspectContactMillis
+                || responsivePrimaryContactMillis < unresponsivePrimaryContactMillis) {
+            throw new IllegalArgumentException(
+                    "contact ages must satisfy doubt <= silent <= answering, but are " + suspectContactMillis + ", "
+                            + unresponsivePrimaryContactMillis + " and " + responsivePrimaryContactMillis);
         }
-        if (reportAgeMillis < idlePollMillis || homelessMillis < reportAgeMillis) {
+        if (maxReportAgeMillis < idlePollMillis || unreportedPrimaryMillis < maxReportAgeMillis) {
             throw new IllegalArgumentException("ages must satisfy idle poll <= report <= without a home, but are "
-                    + idlePollMillis + ", " + reportAgeMillis + " and " + homelessMillis);
+                    + idlePollMillis + ", " + maxReportAgeMillis + " and " + unreportedPrimaryMillis);
         }
-        if (stuckFenceMillis < 1 || rankDelayMillis < 1) {
+        if (abandonedFenceMillis < 1 || rankDelayMillis < 1) {
             throw new IllegalArgumentException("the time of a stuck fence and the rank delay must be positive, but are "
-                    + stuckFenceMillis + " and " + rankDelayMillis);
+                    + abandonedFenceMillis + " and " + rankDelayMillis);
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FloorServer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FloorServer.java
@@ -40,31 +40,31 @@
         this.timeoutMillis = timeoutMillis;
     }
 
-    void serve(EndpointId primary, Reply reply, long nowMillis, Outbox out) {
+    void serve(EndpointId primary, FloorCallback callback, long nowMillis, Outbox out) {
         Optional<EndpointDeclaration> declared =
                 endpoints.declaration(primary).filter(e -> !homes.homes(e).isEmpty());
         Queue queue = declared.map(e -> queues.computeIfAbsent(primary, p -> new Queue(e)))
                 .orElse(null);
         if (queue == null || queue.waiting.size() >= MAX_WAITING) {
-            reply.answer(Optional.empty(), nowMillis, out);
+            callback.onFloor(Optional.empty(), nowMillis, out);
             return;
         }
-        queue.waiting.add(reply);
-        start(queue, nowMillis, out);
+        queue.waiting.add(callback);
+        startNext(queue, nowMillis, out);
     }
 
-    private void start(Queue queue, long nowMillis, Outbox out) {
-        if (queue.underWay || queue.waiting.isEmpty()) {
+    private void startNext(Queue queue, long nowMillis, Outbox out) {
+        if (queue.inFlight || queue.waiting.isEmpty()) {
             return;
         }
-        queue.underWay = true;
-        List<Reply> batch = List.copyOf(queue.waiting);
+        queue.inFlight = true;
+        List<FloorCallback> batch = List.copyOf(queue.waiting);
         queue.waiting.clear();
-        ControlCallback callback = (outcome, now, outbox) -> measured(queue, batch, outcome, now, outbox);
+        ControlCallback callback = (outcome, now, outbox) -> onStatus(queue, batch, outcome, now, outbox);
         router.call(queue.endpoint, new ControlRequest.Status(), timeoutMillis, 0, callback, nowMillis, out);
     }
 
-    private void measured(Queue queue, List<Reply> batch, ControlOutcome outcome, long nowMillis, Outbox out) {
+    private void onStatus(Queue queue, List<FloorCallback> batch, ControlOutcome outcome, long nowMillis, Outbox out) {
         Optional<EndpointStatus> primary = outcome.status().filter(s -> s.role() == EndpointRole.PRIMARY);
         if (primary.isEmpty()) {
             finish(queue, batch, Optional.empty(), nowMillis, out);
@@ -72,29 +72,30 @@
         }
         LogPosition position = new LogPosition(
                 primary.get().acceptedTerm(), primary.get().applied().offset());
-        MajorityCommitConfirmer.Resolution resolution = (confirmed, now, outbox) ->
+        MajorityCommitConfirmer.ResolutionCallback callback = (confirmed, now, outbox) ->
                 finish(queue, batch, confirmed ? Optional.of(position) : Optional.empty(), now, outbox);
-        confirmer.confirm(queue.endpoint.id(), position, nowMillis + timeoutMillis, resolution, nowMillis, out);
+        confirmer.confirm(queue.endpoint.id(), position, nowMillis + timeoutMillis, callback, nowMillis, out);
     }
 
-    private void finish(Queue queue, List<Reply> batch, Optional<LogPosition> floor, long nowMillis, Outbox out) {
-        queue.underWay = false;
-        batch.forEach(r -> r.answer(floor, nowMillis, out));
-        start(queue, nowMillis, out);
+    private void finish(
+            Queue queue, List<FloorCallback> batch, Optional<LogPosition> floor, long nowMillis, Outbox out) {
+        queue.inFlight = false;
+        batch.forEach(c -> c.onFloor(floor, nowMillis, out));
+        startNext(queue, nowMillis, out);
     }
 
     /** Takes the floor; empty when it could not be confirmed. */
     @FunctionalInterface
-    interface Reply {
+    interface FloorCallback {
 
         /** Called exactly once. */
-        void answer(Optional<LogPosition> floor, long nowMillis, Outbox out);
+        void onFloor(Optional<LogPosition> floor, long nowMillis, Outbox out);
     }
 
     private static final class Queue {
         private final EndpointDeclaration endpoint;
-        private final List<Reply> waiting = new ArrayList<>();
-        private boolean underWay;
+        private final List<FloorCallback> waiting = new ArrayList<>();
+        private boolean inFlight;
 
         private Queue(EndpointDeclaration endpoint) {
             this.endpoint = endpoint;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupMonitorSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupMonitorSystem.java
@@ -51,9 +51,9 @@
     private final ToIntFunction<EndpointId> load;
     private final Predicate<EndpointId> inUse;
     private final Map<EndpointId, MonitoredEndpoint> monitored = new LinkedHashMap<>();
-    private final List<MonitoredEndpoint> ownCell = new ArrayList<>();
+    private final List<MonitoredEndpoint> ownCellEndpoints = new ArrayList<>();
     private final Set<EndpointId> siblings = new HashSet<>();
-    private long placedVersion = -1;
+    private long placedMembershipVersion = -1;
 
     /**
      * Creates the system.
@@ -114,33 +114,33 @@
      * @param nowMillis milliseconds of the monotonic clock
      * @param out takes the actions to perform
      */
-    public void announce(DatabaseDeclaration database, EndpointStatus status, long nowMillis, Outbox out) {
+    public void publish(DatabaseDeclaration database, EndpointStatus status, long nowMillis, Outbox out) {
         GroupReport report = new GroupReport(new EndpointHint(status, 0, 0), 0);
-        take(report, nowMillis);
+        store(report, nowMillis);
         Map<VmAddress, List<GroupReport>> batches = new LinkedHashMap<>();
-        address(database, report, batches);
+        addToBatches(database, report, batches);
         send(batches, out);
     }
 
     @Override
     public void configure(Configuration next, long nowMillis, Outbox out) {
         endpoints.configure(next);
-        ownCell.clear();
+        ownCellEndpoints.clear();
         List<DatabaseDeclaration> databases = new ArrayList<>(next.databases().values());
         databases.sort(Comparator.comparing(DatabaseDeclaration::id));
         for (DatabaseDeclaration database : databases) {
             database.endpoints().stream()
                     .filter(e -> e.cell().equals(view.self().cell()))
-                    .forEach(e -> ownCell.add(new MonitoredEndpoint(e, database, nowMillis)));
+                    .forEach(e -> ownCellEndpoints.add(new MonitoredEndpoint(e, database, nowMillis)));
         }
-        placedVersion = -1;
+        placedMembershipVersion = -1;
     }
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        if (placedVersion != view.version()) {
-            placedVersion = view.version();
-            place();
+        if (placedMembershipVersion != view.version()) {
+            placedMembershipVersion = view.version();
+            updatePlacement();
         }
         Map<VmAddress, List<GroupReport>> batches = new LinkedHashMap<>();
         for (MonitoredEndpoint row : monitored.values()) {
@@ -159,27 +159,28 @@
         if (event instanceof Event.MessageReceived received && received.message() instanceof GroupReports reports) {
             reports.reports().stream()
                     .filter(r -> siblings.contains(r.hint().status().endpoint()))
-                    .forEach(r -> takeRemote(r, nowMillis));
+                    .forEach(r -> onRemoteReport(r, nowMillis));
         }
     }
 
     /** Takes a report of another home; a primary that was not known makes the siblings be polled at once. */
-    private void takeRemote(GroupReport report, long nowMillis) {
+    private void onRemoteReport(GroupReport report, long nowMillis) {
         EndpointStatus status = report.hint().status();
-        boolean known =
-                groups.row(status.endpoint()).filter(r -> r.sameRole(status)).isPresent();
-        take(report, nowMillis);
+        boolean known = groups.row(status.endpoint())
+                .filter(r -> r.hasSameRoleAndTerm(status))
+                .isPresent();
+        store(report, nowMillis);
         if (!known && status.role() == EndpointRole.PRIMARY) {
             monitored.values().stream()
                     .filter(m -> m.database().endpoints().stream().anyMatch(e -> e.id().equals(status.endpoint())))
-                    .forEach(m -> m.pollAgainAt(nowMillis));
+                    .forEach(m -> m.scheduleNextPoll(nowMillis));
         }
     }
 
-    private void place() {
+    private void updatePlacement() {
         Set<EndpointId> own = new HashSet<>();
         siblings.clear();
-        for (MonitoredEndpoint row : ownCell) {
+        for (MonitoredEndpoint row : ownCellEndpoints) {
             EndpointDeclaration endpoint = row.endpoint();
             if (homes.homes(endpoint).stream()
                     .findFirst()
@@ -187,7 +188,7 @@
                     .isPresent()) {
                 own.add(endpoint.id());
                 row.database().endpoints().forEach(e -> siblings.add(e.id()));
-                monitored.merge(endpoint.id(), row, MonitoredEndpoint::redeclared);
+                monitored.merge(endpoint.id(), row, MonitoredEndpoint::updateDeclaration);
             }
         }
         monitored.keySet().retainAll(own);
@@ -195,27 +196,28 @@
     }
 
     private void poll(MonitoredEndpoint row, long nowMillis, Outbox out) {
-        row.polled(nowMillis);
-        ControlCallback callback = (outcome, now, outbox) -> polled(row, outcome, now, outbox);
+        row.recordPollSent(nowMillis);
+        ControlCallback callback = (outcome, now, outbox) -> onPollOutcome(row, outcome, now, outbox);
         router.call(row.endpoint(), new ControlRequest.Status(), STATUS_TIMEOUT_MILLIS, 0, callback, nowMillis, out);
     }
 
-    private void polled(MonitoredEndpoint row, ControlOutcome outcome, long nowMillis, Outbox out) {
-        row.answered(outcome.status(), nowMillis, settings.doubtMillis());
-        row.pollAgainAt(nowMillis + jittered(pollInterval(row, nowMillis)));
+    private void onPollOutcome(MonitoredEndpoint row, ControlOutcome outcome, long nowMillis, Outbox out) {
+        row.recordPollOutcome(outcome.status(), nowMillis, settings.suspectContactMillis());
+        row.scheduleNextPoll(nowMillis + jittered(pollInterval(row, nowMillis)));
         if (outcome.status().isPresent()) {
             follow(row, outcome.status().get(), nowMillis, out);
         }
     }
 
     private void report(MonitoredEndpoint row, long nowMillis, Map<VmAddress, List<GroupReport>> batches) {
-        row.report(nowMillis, load.applyAsInt(row.endpoint().id())).ifPresent(report -> {
-            take(report, nowMillis);
-            address(row.database(), report, batches);
+        row.takeReport(nowMillis, load.applyAsInt(row.endpoint().id())).ifPresent(report -> {
+            store(report, nowMillis);
+            addToBatches(row.database(), report, batches);
         });
     }
 
-    private void address(DatabaseDeclaration database, GroupReport report, Map<VmAddress, List<GroupReport>> batches) {
+    private void addToBatches(
+            DatabaseDeclaration database, GroupReport report, Map<VmAddress, List<GroupReport>> batches) {
         Set<VmAddress> targets = new HashSet<>();
         for (EndpointDeclaration sibling : database.endpoints()) {
             homes.homes(sibling).stream().findFirst().ifPresent(targets::add);
@@ -228,8 +230,8 @@
         batches.forEach((to, reports) -> out.add(new Action.SendMessage(to, new GroupReports(reports))));
     }
 
-    private void take(GroupReport report, long nowMillis) {
-        groups.take(report, nowMillis);
+    private void store(GroupReport report, long nowMillis) {
+        groups.update(report, nowMillis);
         endpoints.observe(report.hint(), nowMillis);
     }
 
@@ -242,10 +244,10 @@
         long term = primary.get().acceptedTerm();
         boolean behind =
                 status.acceptedTerm() < term || (status.acceptedTerm() == term && status.role() == EndpointRole.FENCED);
-        if (behind && row.mayFollow(nowMillis, FOLLOW_PERIOD_MILLIS)) {
+        if (behind && row.tryFollow(nowMillis, FOLLOW_PERIOD_MILLIS)) {
             ControlRequest request =
                     new ControlRequest.Follow(term, primary.get().endpoint());
-            ControlCallback callback = (outcome, now, outbox) -> row.pollAgainAt(now);
+            ControlCallback callback = (outcome, now, outbox) -> row.scheduleNextPoll(now);
             router.call(row.endpoint(), request, FOLLOW_TIMEOUT_MILLIS, 0, callback, nowMillis, out);
         }
     }
@@ -253,23 +255,23 @@
     /** The time between polls: short while the group is used or any report of it gives doubt. */
     private long pollInterval(MonitoredEndpoint row, long nowMillis) {
         boolean used = row.isActive(nowMillis) || inUse.test(row.endpoint().id());
-        return used || isInDoubt(row, nowMillis) ? settings.activePollMillis() : settings.idlePollMillis();
+        return used || isGroupSuspect(row, nowMillis) ? settings.activePollMillis() : settings.idlePollMillis();
     }
 
     /** The time between reports that bring nothing new: short only in doubt, since reports cost traffic. */
     private long reportInterval(MonitoredEndpoint row, long nowMillis) {
-        return isInDoubt(row, nowMillis) ? settings.activePollMillis() : settings.idlePollMillis();
+        return isGroupSuspect(row, nowMillis) ? settings.activePollMillis() : settings.idlePollMillis();
     }
 
-    private boolean isInDoubt(MonitoredEndpoint row, long nowMillis) {
-        return groups.rows(row.database()).stream().anyMatch(r -> isDoubtful(r, nowMillis));
+    private boolean isGroupSuspect(MonitoredEndpoint row, long nowMillis) {
+        return groups.rows(row.database()).stream().anyMatch(r -> isSuspect(r, nowMillis));
     }
 
-    private boolean isDoubtful(GroupRow row, long nowMillis) {
-        return row.silentMillis() > 0
+    private boolean isSuspect(GroupRow row, long nowMillis) {
+        return row.unresponsiveMillis() > 0
                 || row.status().role() == EndpointRole.FENCED
-                || row.status().contactAgeMillis() >= settings.doubtMillis()
-                || nowMillis - row.receivedMillis() > settings.idlePollMillis() + settings.doubtMillis();
+                || row.status().contactAgeMillis() >= settings.suspectContactMillis()
+                || nowMillis - row.receivedMillis() > settings.idlePollMillis() + settings.suspectContactMillis();
     }
 
     private long jittered(long millis) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupTable.java
@@ -24,14 +24,14 @@
      * @param report the report
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public void take(GroupReport report, long nowMillis) {
+    public void update(GroupReport report, long nowMillis) {
         EndpointStatus status = report.hint().status();
         GroupRow old = rows.get(status.endpoint());
         if (old != null && old.status().acceptedTerm() > status.acceptedTerm()) {
             return;
         }
-        long since = old != null && old.sameRole(status) ? old.roleSinceMillis() : nowMillis;
-        rows.put(status.endpoint(), new GroupRow(status, report.silentMillis(), nowMillis, since));
+        long since = old != null && old.hasSameRoleAndTerm(status) ? old.roleSinceMillis() : nowMillis;
+        rows.put(status.endpoint(), new GroupRow(status, report.unresponsiveMillis(), nowMillis, since));
     }
 
     /**
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MajorityCommitConfirmer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MajorityCommitConfirmer.java
@@ -27,13 +27,13 @@
     private static final long PRIMARY_TIMEOUT_MILLIS = 2_500;
 
     private static final long SIBLING_TIMEOUT_MILLIS = 1_000;
-    private static final long RETRY_MILLIS = 30;
-    private static final long MAX_RETRY_MILLIS = 480;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 30;
+    private static final long MAX_RETRY_DELAY_MILLIS = 480;
 
     private final ControlRouter router;
     private final EndpointTable endpoints;
-    private final Map<Key, ConfirmationRound> rounds = new LinkedHashMap<>();
-    private final Map<Long, Resolution> resolutions = new LinkedHashMap<>();
+    private final Map<Key, PendingConfirmations> confirmationsByTerm = new LinkedHashMap<>();
+    private final Map<Long, ResolutionCallback> resolutionCallbacks = new LinkedHashMap<>();
     private long lastInternalTicket;
 
     /**
@@ -56,10 +56,10 @@
             return;
         }
         Key key = new Key(primary, position.term());
-        ConfirmationRound round =
-                rounds.computeIfAbsent(key, k -> new ConfirmationRound(database.get(), primary, position.term()));
-        round.add(ticket, position.offset(), deadlineMillis);
-        pump(round, nowMillis, out);
+        PendingConfirmations confirmations = confirmationsByTerm.computeIfAbsent(
+                key, k -> new PendingConfirmations(database.get(), primary, position.term()));
+        confirmations.add(ticket, position.offset(), deadlineMillis);
+        sendAwaits(confirmations, nowMillis, out);
     }
 
     /** Confirms for a system of this VM, which gets the result in a callback instead of an action. */
@@ -67,21 +67,21 @@
             EndpointId primary,
             LogPosition position,
             long deadlineMillis,
-            Resolution resolution,
+            ResolutionCallback callback,
             long nowMillis,
             Outbox out) {
         long ticket = --lastInternalTicket;
-        resolutions.put(ticket, resolution);
+        resolutionCallbacks.put(ticket, callback);
         confirm(ticket, primary, position, deadlineMillis, nowMillis, out);
     }
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        for (ConfirmationRound round : List.copyOf(rounds.values())) {
-            settle(round, nowMillis, out);
-            pump(round, nowMillis, out);
+        for (PendingConfirmations confirmations : List.copyOf(confirmationsByTerm.values())) {
+            resolveTickets(confirmations, nowMillis, out);
+            sendAwaits(confirmations, nowMillis, out);
         }
-        rounds.values().removeIf(ConfirmationRound::isEmpty);
+        confirmationsByTerm.values().removeIf(PendingConfirmations::isEmpty);
     }
 
     @Override
@@ -89,65 +89,67 @@
         // answers arrive through the router
     }
 
-    private void pump(ConfirmationRound round, long nowMillis, Outbox out) {
-        for (EndpointDeclaration endpoint : round.database().endpoints()) {
-            round.nextAwait(endpoint.id(), nowMillis).ifPresent(await -> {
-                ControlRequest request = new ControlRequest.AwaitPosition(round.term(), await.offset());
-                ControlCallback callback = (outcome, now, outbox) -> ended(round, await, outcome, now, outbox);
-                boolean primary = endpoint.id().equals(round.primary());
+    private void sendAwaits(PendingConfirmations confirmations, long nowMillis, Outbox out) {
+        for (EndpointDeclaration endpoint : confirmations.database().endpoints()) {
+            confirmations.nextAwait(endpoint.id(), nowMillis).ifPresent(await -> {
+                ControlRequest request = new ControlRequest.AwaitPosition(confirmations.term(), await.offset());
+                ControlCallback callback =
+                        (outcome, now, outbox) -> onAwaitOutcome(confirmations, await, outcome, now, outbox);
+                boolean primary = endpoint.id().equals(confirmations.primary());
                 long timeout = primary ? PRIMARY_TIMEOUT_MILLIS : SIBLING_TIMEOUT_MILLIS;
                 router.call(endpoint, request, timeout, await.attempt(), callback, nowMillis, out);
             });
         }
     }
 
-    private void ended(
-            ConfirmationRound round,
-            ConfirmationRound.Await await,
+    private void onAwaitOutcome(
+            PendingConfirmations confirmations,
+            PendingConfirmations.Await await,
             ControlOutcome outcome,
             long nowMillis,
             Outbox out) {
-        if (outcome.hasLeft(round.term()) || isDeposed(round, await, outcome)) {
-            round.left(await);
+        if (outcome.hasAcceptedTermAbove(confirmations.term()) || isNoLongerPrimary(confirmations, await, outcome)) {
+            confirmations.recordTermLeft(await);
         } else if (outcome.isAccepted()) {
-            round.reached(await);
+            confirmations.recordAccepted(await);
         } else {
-            long delay = Math.min(MAX_RETRY_MILLIS, RETRY_MILLIS << Math.min(await.attempt(), 4));
-            round.failed(await, nowMillis + delay);
+            long delay = Math.min(MAX_RETRY_DELAY_MILLIS, INITIAL_RETRY_DELAY_MILLIS << Math.min(await.attempt(), 4));
+            confirmations.recordFailure(await, nowMillis + delay);
         }
-        settle(round, nowMillis, out);
-        pump(round, nowMillis, out);
+        resolveTickets(confirmations, nowMillis, out);
+        sendAwaits(confirmations, nowMillis, out);
     }
 
     /** A latest read is only good at an endpoint that was the primary of the term when it confirmed. */
-    private static boolean isDeposed(ConfirmationRound round, ConfirmationRound.Await await, ControlOutcome outcome) {
+    private static boolean isNoLongerPrimary(
+            PendingConfirmations confirmations, PendingConfirmations.Await await, ControlOutcome outcome) {
         return outcome.isAccepted()
-                && await.endpoint().equals(round.primary())
+                && await.endpoint().equals(confirmations.primary())
                 && outcome.status()
                         .filter(s -> s.role() == EndpointRole.PRIMARY)
                         .isEmpty();
     }
 
-    private void settle(ConfirmationRound round, long nowMillis, Outbox out) {
-        round.takeConfirmed().forEach(ticket -> resolve(ticket, true, nowMillis, out));
-        round.takeFailed(nowMillis).forEach(ticket -> resolve(ticket, false, nowMillis, out));
+    private void resolveTickets(PendingConfirmations confirmations, long nowMillis, Outbox out) {
+        confirmations.takeConfirmed().forEach(ticket -> resolve(ticket, true, nowMillis, out));
+        confirmations.takeFailed(nowMillis).forEach(ticket -> resolve(ticket, false, nowMillis, out));
     }
 
     private void resolve(long ticket, boolean confirmed, long nowMillis, Outbox out) {
-        Resolution resolution = resolutions.remove(ticket);
-        if (resolution == null) {
+        ResolutionCallback callback = resolutionCallbacks.remove(ticket);
+        if (callback == null) {
             out.add(new Action.ResolveCommit(ticket, confirmed));
         } else {
-            resolution.resolved(confirmed, nowMillis, out);
+            callback.onResolved(confirmed, nowMillis, out);
         }
     }
 
     /** Takes the result of a confirmation that a system of this VM requested. */
     @FunctionalInterface
-    interface Resolution {
+    interface ResolutionCallback {
 
         /** Called exactly once. */
-        void resolved(boolean confirmed, long nowMillis, Outbox out);
+        void onResolved(boolean confirmed, long nowMillis, Outbox out);
     }
 
     private record Key(EndpointId primary, long term) {}
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MonitoredEndpoint.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MonitoredEndpoint.java
@@ -15,20 +15,20 @@
     private EndpointDeclaration endpoint;
     private DatabaseDeclaration database;
     private Optional<EndpointStatus> status = Optional.empty();
-    private boolean outstanding;
+    private boolean pollInFlight;
     private boolean changed;
     private long nextPollMillis;
-    private long askedMillis;
-    private long measuredMillis;
-    private long silentSinceMillis = NEVER;
-    private long movedMillis;
-    private long reportedMillis = NEVER;
-    private long followedMillis = NEVER;
+    private long pollSentMillis;
+    private long statusTakenMillis;
+    private long unresponsiveSinceMillis = NEVER;
+    private long lastAdvanceMillis;
+    private long lastReportMillis = NEVER;
+    private long lastFollowMillis = NEVER;
 
     MonitoredEndpoint(EndpointDeclaration endpoint, DatabaseDeclaration database, long nowMillis) {
         this.endpoint = endpoint;
         this.database = database;
-        this.movedMillis = nowMillis;
+        this.lastAdvanceMillis = nowMillis;
     }
 
     EndpointDeclaration endpoint() {
@@ -40,70 +40,70 @@
     }
 
     /** Takes over another declaration of the same endpoint and keeps the state. */
-    MonitoredEndpoint redeclared(MonitoredEndpoint next) {
+    MonitoredEndpoint updateDeclaration(MonitoredEndpoint next) {
         endpoint = next.endpoint;
         database = next.database;
         return this;
     }
 
     boolean isPollDue(long nowMillis) {
-        return !outstanding && nowMillis >= nextPollMillis;
+        return !pollInFlight && nowMillis >= nextPollMillis;
     }
 
-    void polled(long nowMillis) {
-        outstanding = true;
-        askedMillis = nowMillis;
+    void recordPollSent(long nowMillis) {
+        pollInFlight = true;
+        pollSentMillis = nowMillis;
     }
 
-    void pollAgainAt(long millis) {
+    void scheduleNextPoll(long millis) {
         nextPollMillis = millis;
     }
 
     /** Takes the answer of a poll; the status is dated at the time of the request, since it may be as old. */
-    void answered(Optional<EndpointStatus> answer, long nowMillis, long doubtMillis) {
-        outstanding = false;
+    void recordPollOutcome(Optional<EndpointStatus> answer, long nowMillis, long suspectContactMillis) {
+        pollInFlight = false;
         if (answer.isEmpty()) {
-            changed |= silentSinceMillis == NEVER;
-            silentSinceMillis = silentSinceMillis == NEVER ? askedMillis : silentSinceMillis;
+            changed |= unresponsiveSinceMillis == NEVER;
+            unresponsiveSinceMillis = unresponsiveSinceMillis == NEVER ? pollSentMillis : unresponsiveSinceMillis;
             return;
         }
         EndpointStatus next = answer.get();
-        changed |= silentSinceMillis != NEVER || isMaterial(next, doubtMillis);
-        silentSinceMillis = NEVER;
+        changed |= unresponsiveSinceMillis != NEVER || isSignificantChange(next, suspectContactMillis);
+        unresponsiveSinceMillis = NEVER;
         if (status.filter(s -> s.applied().equals(next.applied())).isEmpty()) {
-            movedMillis = nowMillis;
+            lastAdvanceMillis = nowMillis;
         }
-        measuredMillis = askedMillis;
+        statusTakenMillis = pollSentMillis;
         status = answer;
     }
 
     /** Whether the group has been written to of late. */
     boolean isActive(long nowMillis) {
-        return nowMillis - movedMillis <= ACTIVE_MILLIS;
+        return nowMillis - lastAdvanceMillis <= ACTIVE_MILLIS;
     }
 
     boolean isReportDue(long nowMillis, long intervalMillis) {
-        return status.isPresent() && (changed || nowMillis - reportedMillis >= intervalMillis);
+        return status.isPresent() && (changed || nowMillis - lastReportMillis >= intervalMillis);
     }
 
-    Optional<GroupReport> report(long nowMillis, int load) {
+    Optional<GroupReport> takeReport(long nowMillis, int load) {
         changed = false;
-        reportedMillis = nowMillis;
-        long silent = silentSinceMillis == NEVER ? 0 : Math.max(1, nowMillis - silentSinceMillis);
-        long age = Math.max(0, nowMillis - measuredMillis);
-        return status.map(s -> new GroupReport(new EndpointHint(s, age, load), silent));
+        lastReportMillis = nowMillis;
+        long unresponsive = unresponsiveSinceMillis == NEVER ? 0 : Math.max(1, nowMillis - unresponsiveSinceMillis);
+        long age = Math.max(0, nowMillis - statusTakenMillis);
+        return status.map(s -> new GroupReport(new EndpointHint(s, age, load), unresponsive));
     }
 
-    boolean mayFollow(long nowMillis, long periodMillis) {
-        if (nowMillis - followedMillis < periodMillis) {
+    boolean tryFollow(long nowMillis, long periodMillis) {
+        if (nowMillis - lastFollowMillis < periodMillis) {
             return false;
         }
-        followedMillis = nowMillis;
+        lastFollowMillis = nowMillis;
         return true;
     }
 
-    private boolean isMaterial(EndpointStatus next, long doubtMillis) {
-        return next.contactAgeMillis() >= doubtMillis
+    private boolean isSignificantChange(EndpointStatus next, long suspectContactMillis) {
+        return next.contactAgeMillis() >= suspectContactMillis
                 || status.filter(s -> s.role() == next.role() && s.acceptedTerm() == next.acceptedTerm())
                         .isEmpty();
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ConfirmationRound.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PendingConfirmations.java
@@ -11,7 +11,7 @@
 import org.hyssopswitch.core.identity.EndpointId;
 
 /** The pending confirmations of one primary in one term. */
-final class ConfirmationRound {
+final class PendingConfirmations {
 
     private final DatabaseDeclaration database;
     private final EndpointId primary;
@@ -20,7 +20,7 @@
     private final Map<EndpointId, Member> members = new HashMap<>();
     private long lastSequence;
 
-    ConfirmationRound(DatabaseDeclaration database, EndpointId primary, long term) {
+    PendingConfirmations(DatabaseDeclaration database, EndpointId primary, long term) {
         this.database = database;
         this.primary = primary;
         this.term = term;
@@ -50,7 +50,7 @@
     /** Starts an await at an endpoint for all tickets that it has not confirmed; empty when none is due. */
     Optional<Await> nextAwait(EndpointId endpoint, long nowMillis) {
         Member member = members.get(endpoint);
-        if (member.outstanding || member.left || nowMillis < member.retryMillis) {
+        if (member.awaitInFlight || member.leftTerm || nowMillis < member.retryMillis) {
             return Optional.empty();
         }
         long offset = tickets.stream()
@@ -61,14 +61,14 @@
         if (offset < 0) {
             return Optional.empty();
         }
-        member.outstanding = true;
+        member.awaitInFlight = true;
         return Optional.of(new Await(endpoint, offset, lastSequence, member.attempts));
     }
 
     /** Takes an accepted await: it confirms the tickets that existed when it was sent, up to its offset. */
-    void reached(Await await) {
+    void recordAccepted(Await await) {
         Member member = members.get(await.endpoint());
-        member.outstanding = false;
+        member.awaitInFlight = false;
         member.attempts = 0;
         tickets.stream()
                 .filter(t -> t.sequence() <= await.sequence() && t.offset() <= await.offset())
@@ -76,16 +76,16 @@
     }
 
     /** Takes an await of an endpoint that has accepted a higher term, or that is not the primary it was taken for. */
-    void left(Await await) {
+    void recordTermLeft(Await await) {
         Member member = members.get(await.endpoint());
-        member.outstanding = false;
-        member.left = true;
+        member.awaitInFlight = false;
+        member.leftTerm = true;
     }
 
     /** Takes an await without a usable answer; the next attempt goes through the other home. */
-    void failed(Await await, long retryMillis) {
+    void recordFailure(Await await, long retryMillis) {
         Member member = members.get(await.endpoint());
-        member.outstanding = false;
+        member.awaitInFlight = false;
         member.attempts++;
         member.retryMillis = retryMillis;
     }
@@ -100,10 +100,10 @@
 
     /** Removes and returns the tickets that are given up: past their deadline, or without a majority in the term. */
     List<Long> takeFailed(long nowMillis) {
-        long remaining = members.values().stream().filter(m -> !m.left).count();
-        boolean hopeless = remaining < database.majority() || members.get(primary).left;
+        long remaining = members.values().stream().filter(m -> !m.leftTerm).count();
+        boolean unconfirmable = remaining < database.majority() || members.get(primary).leftTerm;
         return take(tickets.stream()
-                .filter(t -> hopeless || nowMillis >= t.deadlineMillis())
+                .filter(t -> unconfirmable || nowMillis >= t.deadlineMillis())
                 .toList());
     }
 
@@ -125,8 +125,8 @@
     private record Ticket(long number, long sequence, long offset, long deadlineMillis, Set<EndpointId> confirmedBy) {}
 
     private static final class Member {
-        private boolean outstanding;
-        private boolean left;
+        private boolean awaitInFlight;
+        private boolean leftTerm;
         private int attempts;
         private long retryMillis = Long.MIN_VALUE;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionAttempt.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionAttempt.java
@@ -34,11 +34,11 @@
     }
 
     private static final long CALL_TIMEOUT_MILLIS = 400;
-    private static final long RETRY_MILLIS = 50;
+    private static final long RETRY_DELAY_MILLIS = 50;
 
     private final DatabaseDeclaration database;
     private final long term;
-    private final String orderer;
+    private final String coordinator;
     private final Set<EndpointId> avoided;
     private final long deadlineMillis;
     private final ControlRouter router;
@@ -52,8 +52,8 @@
      * Creates an attempt.
      *
      * @param database the group
-     * @param term the term, never used by this orderer before
-     * @param orderer this orderer
+     * @param term the term, never used by this coordinator before
+     * @param coordinator this coordinator
      * @param avoided endpoints that become primary only when no majority can be fenced without them
      * @param deadlineMillis time of the monotonic clock at which the attempt is given up
      * @param router makes the control calls
@@ -61,13 +61,13 @@
     PromotionAttempt(
             DatabaseDeclaration database,
             long term,
-            String orderer,
+            String coordinator,
             Set<EndpointId> avoided,
             long deadlineMillis,
             ControlRouter router) {
         this.database = database;
         this.term = term;
-        this.orderer = orderer;
+        this.coordinator = coordinator;
         this.avoided = Set.copyOf(avoided);
         this.deadlineMillis = deadlineMillis;
         this.router = router;
@@ -101,48 +101,48 @@
         if (state == State.FENCING) {
             database.endpoints().stream()
                     .filter(e -> !fenced.containsKey(e.id()))
-                    .forEach(e -> call(e, new ControlRequest.Fence(term, orderer), nowMillis, out));
+                    .forEach(e -> call(e, new ControlRequest.Fence(term, coordinator), nowMillis, out));
         } else if (state == State.PROMOTING) {
             EndpointId target = chosen.orElseThrow().endpoint();
             database.endpoints().stream()
                     .filter(e -> e.id().equals(target))
-                    .forEach(e -> call(e, new ControlRequest.Promote(term, orderer), nowMillis, out));
+                    .forEach(e -> call(e, new ControlRequest.Promote(term, coordinator), nowMillis, out));
         }
     }
 
     private void call(EndpointDeclaration endpoint, ControlRequest request, long nowMillis, Outbox out) {
         Call call = calls.get(endpoint.id());
-        if (state == State.FAILED || call.outstanding || nowMillis < call.retryMillis) {
+        if (state == State.FAILED || call.inFlight || nowMillis < call.retryMillis) {
             return;
         }
-        call.outstanding = true;
+        call.inFlight = true;
         ControlCallback callback = (outcome, now, outbox) -> {
-            call.ended(outcome, now);
-            ended(endpoint.id(), request, outcome, now, outbox);
+            call.recordOutcome(outcome, now);
+            onOutcome(endpoint.id(), request, outcome, now, outbox);
         };
         router.call(endpoint, request, CALL_TIMEOUT_MILLIS, call.attempts, callback, nowMillis, out);
     }
 
-    private void ended(
+    private void onOutcome(
             EndpointId endpoint, ControlRequest request, ControlOutcome outcome, long nowMillis, Outbox out) {
         outcome.status().ifPresent(s -> highestTerm = Math.max(highestTerm, s.acceptedTerm()));
-        if (outcome.result() == ControlResult.REFUSED && concerns(request)) {
-            // another orderer uses this term or a higher one
+        if (outcome.result() == ControlResult.REFUSED && isRelevant(request)) {
+            // another coordinator uses this term or a higher one
             state = State.FAILED;
-        } else if (outcome.isAccepted() && concerns(request) && state == State.FENCING) {
+        } else if (outcome.isAccepted() && isRelevant(request) && state == State.FENCING) {
             fenced.put(endpoint, outcome.status().orElseThrow());
-        } else if (outcome.isAccepted() && concerns(request)) {
+        } else if (outcome.isAccepted() && isRelevant(request)) {
             chosen = outcome.status();
             state = State.DONE;
         }
         if (state == State.FENCING) {
-            choose();
+            chooseCandidate();
         }
         step(nowMillis, out);
     }
 
     /** Whether the outcome of a request still matters; a late fence does not once a majority is fenced. */
-    private boolean concerns(ControlRequest request) {
+    private boolean isRelevant(ControlRequest request) {
         return state == (request instanceof ControlRequest.Fence ? State.FENCING : State.PROMOTING);
     }
 
@@ -150,7 +150,7 @@
      * Chooses the most advanced endpoint of a fenced majority. Any majority holds every acknowledged write, hence also
      * one without the avoided endpoints, even when those are more advanced.
      */
-    private void choose() {
+    private void chooseCandidate() {
         if (fenced.size() < database.majority()) {
             return;
         }
@@ -158,7 +158,7 @@
                 .filter(s -> !avoided.contains(s.endpoint()))
                 .toList();
         boolean enough = preferred.size() >= database.majority();
-        if (!enough && mayFenceMore()) {
+        if (!enough && hasFirstFencePending()) {
             return;
         }
         chosen = (enough ? preferred : List.copyOf(fenced.values()))
@@ -167,21 +167,21 @@
     }
 
     /** Whether the first fence of some endpoint is still under way. */
-    private boolean mayFenceMore() {
+    private boolean hasFirstFencePending() {
         return database.endpoints().stream()
                 .anyMatch(e -> !fenced.containsKey(e.id()) && calls.get(e.id()).attempts == 0);
     }
 
     private static final class Call {
-        private boolean outstanding;
+        private boolean inFlight;
         private int attempts;
         private long retryMillis = Long.MIN_VALUE;
 
-        private void ended(ControlOutcome outcome, long nowMillis) {
-            outstanding = false;
+        private void recordOutcome(ControlOutcome outcome, long nowMillis) {
+            inFlight = false;
             if (!outcome.isAccepted()) {
                 attempts++;
-                retryMillis = nowMillis + RETRY_MILLIS;
+                retryMillis = nowMillis + RETRY_DELAY_MILLIS;
             }
         }
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
@@ -25,14 +25,14 @@
  * Orders promotions in the groups that this VM is a home of.
  *
  * <p>When a promotion is due, the home of the most advanced replica begins first and the others after a delay each. An
- * orderer claims the platform's lease when the platform answers, and goes on without it when it does not.
+ * coordinator claims the platform's lease when the platform answers, and goes on without it when it does not.
  */
 public final class PromotionSystem implements DecisionSystem {
 
-    private static final long ATTEMPT_MILLIS = 3_000;
+    private static final long ATTEMPT_TIMEOUT_MILLIS = 3_000;
     private static final long LEASE_TIMEOUT_MILLIS = 300;
-    private static final long LEASE_RESPECT_MILLIS = 1_500;
-    private static final long BACKOFF_MILLIS = 300;
+    private static final long LEASE_EXPIRY_MILLIS = 1_500;
+    private static final long INITIAL_BACKOFF_MILLIS = 300;
     private static final long MAX_BACKOFF_MILLIS = 1_200;
     private static final long MAX_TICK_GAP_MILLIS = 1_000;
 
@@ -43,7 +43,7 @@
     private final FailoverSettings settings;
     private final LongSupplier numbers;
     private final RandomGenerator random;
-    private final String orderer;
+    private final String coordinator;
     private final Map<DatabaseId, GroupPromotion> promotions = new HashMap<>();
     private final Map<DatabaseId, Long> usedTerms = new HashMap<>();
     private long lastTickMillis = Long.MIN_VALUE / 2;
@@ -77,7 +77,7 @@
         this.settings = settings;
         this.numbers = numbers;
         this.random = random;
-        this.orderer = self.vm() + "/" + self.incarnation();
+        this.coordinator = self.vm() + "/" + self.incarnation();
     }
 
     /** The number of promotions that this VM has completed. */
@@ -102,7 +102,7 @@
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
         if (event instanceof Event.ObjectAnswered answered) {
-            promotions.values().forEach(p -> p.answered(answered, nowMillis, out));
+            promotions.values().forEach(p -> p.onAnswer(answered, nowMillis, out));
         }
     }
 
@@ -110,24 +110,24 @@
         GroupPromotion promotion = promotions.computeIfAbsent(database.id(), id -> new GroupPromotion());
         if (promotion.attempt != null) {
             promotion.stepAttempt(database, nowMillis, out);
-        } else if (need(database, nowMillis) == PromotionNeed.NONE) {
-            promotion.calm();
+        } else if (requiredPromotion(database, nowMillis) == RequiredPromotion.NONE) {
+            promotion.reset();
         } else if (promotion.claim != null) {
             promotion.stepClaim(database, nowMillis, out);
-        } else if (promotion.isTurn(database, nowMillis)) {
-            promotion.begin(database, nowMillis, out);
+        } else if (promotion.checkTurn(database, nowMillis)) {
+            promotion.startClaim(database, nowMillis, out);
         }
     }
 
-    private PromotionNeed need(DatabaseDeclaration database, long nowMillis) {
-        return policy.need(database, groups, nowMillis);
+    private RequiredPromotion requiredPromotion(DatabaseDeclaration database, long nowMillis) {
+        return policy.evaluate(database, groups, nowMillis);
     }
 
     /** The endpoints that should not become primary: those leaving, and the primary that is to be replaced. */
     private Set<EndpointId> avoided(DatabaseDeclaration database, long nowMillis) {
         Set<EndpointId> avoided = new HashSet<>();
         database.endpoints().stream().filter(EndpointDeclaration::leaving).forEach(e -> avoided.add(e.id()));
-        if (need(database, nowMillis) == PromotionNeed.REPLACE) {
+        if (requiredPromotion(database, nowMillis) == RequiredPromotion.REPLACE) {
             groups.primary(database).ifPresent(p -> avoided.add(p.status().endpoint()));
         }
         return avoided;
@@ -147,7 +147,7 @@
 
     private LogPosition applied(EndpointDeclaration endpoint, long nowMillis) {
         return groups.row(endpoint.id())
-                .filter(r -> r.isFresh(nowMillis, settings.reportAgeMillis()) && !r.isPrimary())
+                .filter(r -> r.isFresh(nowMillis, settings.maxReportAgeMillis()) && !r.isPrimary())
                 .map(r -> r.status().applied())
                 .orElse(LogPosition.ZERO);
     }
@@ -159,24 +159,24 @@
 
     /** The promotion state of one group. */
     private final class GroupPromotion {
-        private static final long NOT_DUE = Long.MAX_VALUE;
+        private static final long UNSET = Long.MAX_VALUE;
 
-        private long turnMillis = NOT_DUE;
-        private long holderSeenMillis = NOT_DUE;
-        private long claimedMillis;
+        private long turnMillis = UNSET;
+        private long holderFirstSeenMillis = UNSET;
+        private long claimStartMillis;
         private int failures;
-        private LeaseClaim claim;
+        private FailoverLeaseClaim claim;
         private PromotionAttempt attempt;
 
-        private void calm() {
-            turnMillis = NOT_DUE;
-            holderSeenMillis = NOT_DUE;
+        private void reset() {
+            turnMillis = UNSET;
+            holderFirstSeenMillis = UNSET;
             claim = null;
             failures = 0;
         }
 
-        private boolean isTurn(DatabaseDeclaration database, long nowMillis) {
-            if (turnMillis == NOT_DUE) {
+        private boolean checkTurn(DatabaseDeclaration database, long nowMillis) {
+            if (turnMillis == UNSET) {
                 long rank =
                         rank(database, nowMillis).orElse(database.endpoints().size());
                 turnMillis = nowMillis + rank * settings.rankDelayMillis() + jitter(settings.rankDelayMillis() / 3);
@@ -184,32 +184,34 @@
             return nowMillis >= turnMillis;
         }
 
-        private void begin(DatabaseDeclaration database, long nowMillis, Outbox out) {
+        private void startClaim(DatabaseDeclaration database, long nowMillis, Outbox out) {
             long known = Math.max(usedTerm(database), groups.highestTerm(database));
-            claim = new LeaseClaim(database.id(), orderer, known, numbers);
-            claimedMillis = nowMillis;
+            claim = new FailoverLeaseClaim(database.id(), coordinator, known, numbers);
+            claimStartMillis = nowMillis;
             claim.start(out);
         }
 
-        private void answered(Event.ObjectAnswered answered, long nowMillis, Outbox out) {
+        private void onAnswer(Event.ObjectAnswered answered, long nowMillis, Outbox out) {
             if (claim != null) {
-                boolean lapsed = holderSeenMillis != NOT_DUE && nowMillis - holderSeenMillis >= LEASE_RESPECT_MILLIS;
-                claim.answered(answered.call(), answered.result(), lapsed, out);
+                boolean leaseExpired =
+                        holderFirstSeenMillis != UNSET && nowMillis - holderFirstSeenMillis >= LEASE_EXPIRY_MILLIS;
+                claim.onAnswer(answered.call(), answered.result(), leaseExpired, out);
             }
         }
 
         private void stepClaim(DatabaseDeclaration database, long nowMillis, Outbox out) {
-            if (nowMillis - claimedMillis >= LEASE_TIMEOUT_MILLIS) {
+            if (nowMillis - claimStartMillis >= LEASE_TIMEOUT_MILLIS) {
                 claim.timeOut();
             }
-            if (claim.state() == LeaseClaim.State.TAKEN) {
-                holderSeenMillis = Math.min(holderSeenMillis, nowMillis);
+            if (claim.state() == FailoverLeaseClaim.State.TAKEN) {
+                holderFirstSeenMillis = Math.min(holderFirstSeenMillis, nowMillis);
                 backOff(nowMillis);
-            } else if (claim.state() != LeaseClaim.State.PENDING) {
+            } else if (claim.state() != FailoverLeaseClaim.State.PENDING) {
                 long term = Math.max(claim.knownTerm(), groups.highestTerm(database)) + 1;
                 usedTerms.put(database.id(), term);
-                long deadline = nowMillis + ATTEMPT_MILLIS;
-                attempt = new PromotionAttempt(database, term, orderer, avoided(database, nowMillis), deadline, router);
+                long deadline = nowMillis + ATTEMPT_TIMEOUT_MILLIS;
+                attempt = new PromotionAttempt(
+                        database, term, coordinator, avoided(database, nowMillis), deadline, router);
                 claim = null;
                 stepAttempt(database, nowMillis, out);
             }
@@ -221,8 +223,8 @@
                 EndpointStatus status = attempt.promoted().orElseThrow();
                 completed++;
                 attempt = null;
-                calm();
-                monitor.announce(database, status, nowMillis, out);
+                reset();
+                monitor.publish(database, status, nowMillis, out);
             } else if (attempt.state() == PromotionAttempt.State.FAILED) {
                 usedTerms.merge(database.id(), attempt.highestTerm(), Math::max);
                 attempt = null;
@@ -233,7 +235,7 @@
         private void backOff(long nowMillis) {
             claim = null;
             failures++;
-            long mean = Math.min(MAX_BACKOFF_MILLIS, BACKOFF_MILLIS << Math.min(failures - 1, 4));
+            long mean = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(failures - 1, 4));
             turnMillis = nowMillis + mean / 2 + jitter(mean);
         }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionNeed.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/RequiredPromotion.java
@@ -1,7 +1,7 @@
 package org.hyssopswitch.core.failover;
 
 /** Whether a group needs a promotion, and which. */
-public enum PromotionNeed {
+public enum RequiredPromotion {
     /** The group is healthy, or nothing is known to the contrary. */
     NONE,
     /** A fence was left behind; the present primary may stay. */
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
@@ -96,9 +96,9 @@
         }
         if (received.message() instanceof FloorRequest request) {
             VmAddress from = received.from();
-            FloorServer.Reply reply = (floor, now, outbox) -> outbox.add(new Action.SendMessage(
+            FloorServer.FloorCallback callback = (floor, now, outbox) -> outbox.add(new Action.SendMessage(
                     from, new FloorReply(request.id(), floor.map(List::of).orElse(List.of()))));
-            server.serve(request.primary(), reply, nowMillis, out);
+            server.serve(request.primary(), callback, nowMillis, out);
         } else if (received.message() instanceof FloorReply reply) {
             onReply(reply.id(), reply.floor().stream().findFirst(), nowMillis, out);
         }
@@ -116,15 +116,15 @@
         Optional<VmAddress> home = primary.flatMap(endpoints::declaration)
                 .flatMap(e -> homes.homes(e).stream().findFirst());
         if (home.isPresent()) {
-            batch.begin(numbers.getAsLong(), nowMillis + REQUEST_TIMEOUT_MILLIS);
+            batch.startRequest(numbers.getAsLong(), nowMillis + REQUEST_TIMEOUT_MILLIS);
             dispatch(home.get(), new FloorRequest(batch.request, primary.get()), nowMillis, out);
         }
     }
 
     private void dispatch(VmAddress home, FloorRequest request, long nowMillis, Outbox out) {
         if (home.equals(self)) {
-            FloorServer.Reply reply = (floor, now, outbox) -> onReply(request.id(), floor, now, outbox);
-            server.serve(request.primary(), reply, nowMillis, out);
+            FloorServer.FloorCallback callback = (floor, now, outbox) -> onReply(request.id(), floor, now, outbox);
+            server.serve(request.primary(), callback, nowMillis, out);
         } else {
             out.add(new Action.SendMessage(home, request));
         }
@@ -155,7 +155,7 @@
         private long timeoutMillis;
         private long retryMillis = Long.MIN_VALUE;
 
-        private void begin(long number, long timeout) {
+        private void startRequest(long number, long timeout) {
             request = number;
             timeoutMillis = timeout;
             retryMillis = Long.MIN_VALUE;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SuspicionPolicy.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SuspicionPolicy.java
@@ -12,5 +12,5 @@
      * @param table the last reports
      * @param nowMillis milliseconds of the monotonic clock
      */
-    PromotionNeed need(DatabaseDeclaration database, GroupTable table, long nowMillis);
+    RequiredPromotion evaluate(DatabaseDeclaration database, GroupTable table, long nowMillis);
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/failover/LeaseClaimTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/failover/FailoverLeaseClaimTests.java
@@ -13,12 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class LeaseClaimTests {
+class FailoverLeaseClaimTests {
 
     private static final String PATH = "failover/renewals";
 
     private final List<Action> actions = new ArrayList<>();
-    private final LeaseClaim claim = new LeaseClaim(new DatabaseId("renewals"), "vm1/1", 3, new CallNumbers());
+    private final FailoverLeaseClaim claim =
+            new FailoverLeaseClaim(new DatabaseId("renewals"), "vm1/1", 3, new CallNumbers());
 
     @ParameterizedTest
     @CsvSource(
@@ -38,11 +39,11 @@
                 "late, empty, written | HELD",
                 "empty | PENDING"
             })
-    void endsAsTheAnswersOfThePlatformSay(String answers, LeaseClaim.State expected) {
+    void endsAccordingToTheResponsesOfThePlatform(String answers, FailoverLeaseClaim.State expected) {
         claim.start(actions::add);
         for (String answer : answers.split(", ")) {
             long number = answer.equals("late") ? 99 : actions.size();
-            claim.answered(number, result(answer), false, actions::add);
+            claim.onAnswer(number, result(answer), false, actions::add);
         }
         assertEquals(expected, claim.state());
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
@@ -6,7 +6,7 @@
 import java.util.stream.LongStream;
 import org.hyssopswitch.core.failover.DefaultSuspicionPolicy;
 import org.hyssopswitch.core.failover.FailoverSettings;
-import org.hyssopswitch.core.failover.PromotionNeed;
+import org.hyssopswitch.core.failover.RequiredPromotion;
 import org.hyssopswitch.core.failover.SuspicionPolicy;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -52,14 +52,15 @@
         FailoverSettings settings = mechanism == Mutation.REUSE_TERM ? HASTY : FailoverSettings.DEFAULT;
         SuspicionPolicy policy =
                 switch (mechanism) {
-                    case PROMOTE_WITHOUT_FENCING -> suspectingHealthyPrimary(PromotionNeed.REPLACE);
-                    case REUSE_TERM -> suspectingHealthyPrimary(PromotionNeed.REPAIR);
+                    case PROMOTE_WITHOUT_FENCING -> suspectingHealthyPrimary(RequiredPromotion.REPLACE);
+                    case REUSE_TERM -> suspectingHealthyPrimary(RequiredPromotion.REPAIR);
                     default -> new DefaultSuspicionPolicy(settings);
                 };
         return Audit.violations(run.run(broken, policy, settings));
     }
 
-    private static SuspicionPolicy suspectingHealthyPrimary(PromotionNeed need) {
-        return (database, table, now) -> now > 5_000 && now < 14_000 && now % 2_000 < 800 ? need : PromotionNeed.NONE;
+    private static SuspicionPolicy suspectingHealthyPrimary(RequiredPromotion required) {
+        return (database, table, now) ->
+                now > 5_000 && now < 14_000 && now % 2_000 < 800 ? required : RequiredPromotion.NONE;
     }
 }
