--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ClusterSystems.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ClusterSystems.java
@@ -18,16 +18,16 @@
 import org.hyssopswitch.core.session.SelectionWaits;
 
 /**
- * The systems of a VM that deal with membership, placement, sessions and failover, wired together.
+ * Membership, placement, session and failover systems of one VM, with their dependencies resolved.
  *
- * @param membership the VMs
- * @param homes the homes of endpoints
- * @param endpoints the known endpoints
- * @param selector chooses endpoints for statements
+ * @param membership the membership view of this VM
+ * @param homes resolves the homes of endpoints
+ * @param endpoints the declared endpoints and their last known statuses
+ * @param selector selects endpoints for statements
  * @param confirmer confirms commits
- * @param floors finds the floors of sessions without a token
- * @param promotion orders promotions
- * @param systems the systems in the order in which the engine runs them
+ * @param floors determines the floors of sessions without a token
+ * @param promotion coordinates promotions
+ * @param systems all systems, in the order in which the engine runs them
  */
 public record ClusterSystems(
         MembershipSystem membership,
@@ -45,13 +45,13 @@
     }
 
     /**
-     * Creates the systems with their default times.
+     * Creates the systems with the default policy and the default timings.
      *
      * @param self this VM
-     * @param seeds addresses of other VMs known from settings; may be empty or outdated
-     * @param numbers numbers the calls of this VM
+     * @param seeds addresses of other VMs from the settings; may be empty or outdated
+     * @param numbers allocates the call numbers of this VM
      * @param random source of randomness
-     * @param load statements that run or wait at this VM for an endpoint
+     * @param load returns the number of statements that this VM runs or queues for an endpoint
      */
     public static ClusterSystems create(
             VmAddress self,
@@ -67,12 +67,12 @@
      * Creates the systems.
      *
      * @param self this VM
-     * @param seeds addresses of other VMs known from settings; may be empty or outdated
-     * @param numbers numbers the calls of this VM
+     * @param seeds addresses of other VMs from the settings; may be empty or outdated
+     * @param numbers allocates the call numbers of this VM
      * @param random source of randomness
-     * @param load statements that run or wait at this VM for an endpoint
-     * @param policy decides whether a promotion is due
-     * @param settings times of failure detection and promotion
+     * @param load returns the number of statements that this VM runs or queues for an endpoint
+     * @param policy decides whether a group requires a promotion
+     * @param settings timings of failure detection and promotion
      */
     public static ClusterSystems create(
             VmAddress self,
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/CommitConfirmer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/CommitConfirmer.java
@@ -5,21 +5,22 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * Confirms that a majority of a database group holds a position in a term that none of that majority has left.
+ * Confirms that a majority of a database group holds a log position, and that no endpoint of this majority had accepted
+ * a term higher than that of the position.
  *
  * @see org.hyssopswitch.core.engine.Action.ResolveCommit
  */
 public interface CommitConfirmer {
 
     /**
-     * Requests a confirmation; the answer is a {@code ResolveCommit} action.
+     * Requests a confirmation; the result is emitted as a {@code ResolveCommit} action.
      *
-     * @param ticket number that the caller chose
-     * @param primary the endpoint that wrote or read at the position
-     * @param position the position
-     * @param deadlineMillis time of the monotonic clock at which the confirmation is given up
+     * @param ticket number by which the caller matches the result
+     * @param primary the primary at which the position was written or read
+     * @param position the log position
+     * @param deadlineMillis time of the monotonic clock at which the confirmation fails
      * @param nowMillis milliseconds of the monotonic clock
-     * @param out takes the actions to perform
+     * @param out receives the actions to perform
      */
     void confirm(
             long ticket, EndpointId primary, LogPosition position, long deadlineMillis, long nowMillis, Outbox out);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
@@ -5,21 +5,21 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks the home of an endpoint to make a control call.
+ * Requests that the home of an endpoint make a control call to it.
  *
- * @param id number that the answer repeats
+ * @param id number that the response repeats
  * @param endpoint the endpoint
  * @param kind the kind of call
- * @param term term of the call; 0 when the kind has none
- * @param offset offset of the call; 0 when the kind has none
- * @param argument orderer or primary of the call; empty when the kind has none
+ * @param term term of the call; 0 if the kind has none
+ * @param offset offset of the call; 0 if the kind has none
+ * @param argument promotion coordinator or primary of the call; empty if the kind has none
  * @param timeoutMillis milliseconds after which the call fails
  */
 public record ControlCall(
         long id, EndpointId endpoint, ControlKind kind, long term, long offset, String argument, long timeoutMillis)
         implements PeerMessage {
 
-    /** Builds the message that carries a request. */
+    /** Creates the message that carries a request. */
     static ControlCall of(long id, EndpointId endpoint, ControlRequest request, long timeoutMillis) {
         if (request instanceof ControlRequest.Fence fence) {
             return new ControlCall(id, endpoint, ControlKind.FENCE, fence.term(), 0, fence.orderer(), timeoutMillis);
@@ -38,7 +38,7 @@
         return new ControlCall(id, endpoint, ControlKind.STATUS, 0, 0, "", timeoutMillis);
     }
 
-    /** The request that the message carries. */
+    /** Returns the request that the message carries. */
     ControlRequest request() {
         return kind.request(term, offset, argument);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlKind.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlKind.java
@@ -3,7 +3,7 @@
 import org.hyssopswitch.core.engine.ControlRequest;
 import org.hyssopswitch.core.identity.EndpointId;
 
-/** The kind of a control call that one VM passes on to the home of an endpoint. */
+/** Kind of a control call that one VM forwards to the home of an endpoint. */
 public enum ControlKind {
     /** {@link ControlRequest.Status}. */
     STATUS,
@@ -16,7 +16,7 @@
     /** {@link ControlRequest.AwaitPosition}. */
     AWAIT;
 
-    /** Builds the request of this kind from the parts that a message carries. */
+    /** Creates the request of this kind from the fields of a message. */
     ControlRequest request(long term, long offset, String argument) {
         return switch (this) {
             case STATUS -> new ControlRequest.Status();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlOutcome.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlOutcome.java
@@ -7,10 +7,10 @@
 import org.hyssopswitch.core.position.EndpointStatus;
 
 /**
- * How a control call ended, with the endpoint's status when it answered.
+ * Outcome of a control call, with the endpoint's status if the endpoint responded.
  *
- * @param result how it ended
- * @param status the status after the call
+ * @param result the result of the call
+ * @param status the endpoint's status after the call; empty if the call failed
  */
 record ControlOutcome(ControlResult result, Optional<EndpointStatus> status) {
 
@@ -35,7 +35,7 @@
         return result == ControlResult.ACCEPTED;
     }
 
-    /** Whether the endpoint is known to have accepted a higher term. */
+    /** Whether the endpoint is known to have accepted a term higher than the given one. */
     boolean hasAcceptedTermAbove(long term) {
         return status.filter(s -> s.acceptedTerm() > term).isPresent();
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlResult.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlResult.java
@@ -1,11 +1,11 @@
 package org.hyssopswitch.core.failover;
 
-/** How a control call ended. */
+/** Result of a control call. */
 public enum ControlResult {
-    /** The endpoint did what was asked. */
+    /** The endpoint carried out the request. */
     ACCEPTED,
-    /** The endpoint answered without doing it. */
+    /** The endpoint responded but did not carry out the request. */
     REFUSED,
-    /** No answer came; the call may have taken effect. */
+    /** No response arrived; the call may have taken effect. */
     FAILED
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
@@ -17,9 +17,10 @@
 import org.hyssopswitch.core.session.EndpointTable;
 
 /**
- * Makes control calls to endpoints through their homes, and serves those of other VMs at the endpoints of this VM.
+ * Routes control calls to endpoints through their homes, and serves the calls of other VMs to the endpoints that this
+ * VM is a home of.
  *
- * <p>An answer is matched to its call by number and sender; late, repeated and crossed answers are dropped.
+ * <p>A response is matched to its call by number and sender; late, duplicate and mismatched responses are dropped.
  */
 public final class ControlRouter implements DecisionSystem {
 
@@ -37,9 +38,9 @@
      * Creates a router.
      *
      * @param self this VM
-     * @param homes finds the homes of endpoints
+     * @param homes resolves the homes of endpoints
      * @param endpoints the declared endpoints
-     * @param numbers numbers calls uniquely within this VM
+     * @param numbers allocates call numbers that are unique within this VM
      */
     public ControlRouter(VmAddress self, HomeResolver homes, EndpointTable endpoints, LongSupplier numbers) {
         this.self = self;
@@ -48,7 +49,7 @@
         this.numbers = numbers;
     }
 
-    /** Makes a call through a home of the endpoint; later attempts go through the standby and back. */
+    /** Makes a call through a home of the endpoint. Attempts alternate between the home and the standby. */
     void call(
             EndpointDeclaration endpoint,
             ControlRequest request,
@@ -119,7 +120,7 @@
 
     private void onEndpointAnswer(Event.EndpointAnswered answered, long nowMillis, Outbox out) {
         ControlOutcome outcome = ControlOutcome.of(answered.result().map(r -> r));
-        // awaits tell the position of a replica far more often than polls do
+        // Awaits update a replica's position far more often than polls do.
         outcome.status().ifPresent(status -> endpoints.observeApplied(status.endpoint(), status.applied()));
         ServedCall origin = served.remove(answered.call());
         if (origin != null) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/DefaultSuspicionPolicy.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/DefaultSuspicionPolicy.java
@@ -7,15 +7,16 @@
 import org.hyssopswitch.core.position.EndpointStatus;
 
 /**
- * Suspects a primary that a majority of its group has lost replication contact with.
+ * Suspects a primary when a majority of its group has lost replication contact with it.
  *
- * <p>Slow answers to statements or status calls never count: a replica counts only with its own, freshly reported
- * contact age. While the primary still answers its home, the contact must have been lost for longer, because then
- * replication alone may be disturbed. A primary that is unresponsive itself counts as one of the majority when at least one
- * replica has lost contact.
+ * <p>Slow responses to statements or status calls do not count as evidence: a replica counts only by the contact age in
+ * its own recent report. While the primary still responds to its home, the contact must have been lost for longer,
+ * because the fault may then be limited to replication. A primary that is itself unresponsive counts towards the
+ * majority if at least one replica has lost contact.
  *
- * <p>A promotion is due as well when no VM has reported a primary for long, when a fence was left behind without a promotion, and when the primary is declared as
- * leaving while the rest of the group is healthy.
+ * <p>A promotion is also required when no VM has reported a primary for a long time, when a fence has been abandoned
+ * without a promotion, and when the primary is declared as leaving while responsive replicas that stay form a majority
+ * of the group.
  */
 public final class DefaultSuspicionPolicy implements SuspicionPolicy {
 
@@ -26,7 +27,7 @@
     /**
      * Creates a policy.
      *
-     * @param settings times of the detection
+     * @param settings timings of the failure detection
      */
     public DefaultSuspicionPolicy(FailoverSettings settings) {
         this.settings = settings;
@@ -67,8 +68,9 @@
     }
 
     /**
-     * Whether no VM has reported a primary for long, so that nobody could reach it although its replicas do. A primary
-     * that this VM never heard of is given more time, since reports may only begin to arrive after a start.
+     * Whether no VM has reported a primary for a long time, so that no VM can reach it even if its replicas can. The
+     * timeout is longer for a group of which this VM has never received a report of a primary, since reports may only
+     * begin to arrive after a start.
      */
     private boolean isPrimaryUnreported(
             DatabaseDeclaration database, List<GroupRow> fresh, Optional<GroupRow> primary, long nowMillis) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLease.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLease.java
@@ -7,12 +7,13 @@
 import org.hyssopswitch.core.identity.DatabaseId;
 
 /**
- * The content of the platform object that keeps orderers of one group from getting in each other's way.
+ * Content of the platform object by which promotion coordinators avoid concurrent promotions of one group.
  *
- * <p>The lease only saves attempts; safety rests on the endpoints, which accept a term from one coordinator.
+ * <p>The lease only avoids competing attempts. Safety does not depend on it, because an endpoint accepts a term from
+ * one coordinator only.
  *
- * @param coordinator who orders the promotion
- * @param term the term it orders
+ * @param coordinator the VM and incarnation that coordinate the promotion
+ * @param term the term of the promotion
  */
 record FailoverLease(String coordinator, long term) {
 
@@ -26,7 +27,7 @@
         return ("v1 " + coordinator + " " + term).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads a lease; an object that holds none, or something unreadable, gives nothing. */
+    /** Decodes a lease; returns empty if the object holds none or cannot be decoded. */
     static Optional<FailoverLease> decode(byte[] value) {
         Matcher matcher = FORM.matcher(new String(value, StandardCharsets.UTF_8));
         return matcher.matches()
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLeaseClaim.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLeaseClaim.java
@@ -10,20 +10,20 @@
 import org.hyssopswitch.core.identity.DatabaseId;
 
 /**
- * Claims the failover lease of one group: reads it, updates it on condition, and re-reads it when the answer to the
- * update was lost.
+ * Claims the failover lease of one group: reads it, updates it on condition that its version is unchanged, and reads it
+ * again if the response to the update was lost.
  */
 final class FailoverLeaseClaim {
 
-    /** How the claim stands. */
+    /** State of the claim. */
     enum State {
-        /** An answer of the platform is awaited. */
+        /** A response of the platform is pending. */
         PENDING,
         /** The lease is held. */
         HELD,
-        /** Another coordinator holds the lease or took it in between. */
+        /** Another coordinator holds the lease or acquired it concurrently. */
         TAKEN,
-        /** The platform does not answer; the promotion goes on without the lease. */
+        /** The platform did not respond or rejected the call; the promotion continues without the lease. */
         UNREACHABLE
     }
 
@@ -40,9 +40,9 @@
      * Creates a claim.
      *
      * @param database the group
-     * @param coordinator this coordinator
-     * @param knownTerm the highest term known of the group; a lease of a term up to it has served its purpose
-     * @param numbers numbers the calls
+     * @param coordinator the coordinator that claims the lease
+     * @param knownTerm the highest known term of the group; a lease of this or a lower term is obsolete
+     * @param numbers allocates call numbers
      */
     FailoverLeaseClaim(DatabaseId database, String coordinator, long knownTerm, LongSupplier numbers) {
         this.path = FailoverLease.path(database);
@@ -55,7 +55,7 @@
         return state;
     }
 
-    /** The highest term known of endpoints and lease; the next term to order is above it. */
+    /** Returns the highest term known from the endpoints and the lease; the next term must be above it. */
     long knownTerm() {
         return knownTerm;
     }
@@ -65,7 +65,7 @@
         out.add(new Action.ReadObject(call, path));
     }
 
-    /** Gives up waiting for the platform. */
+    /** Ends a pending claim as {@link State#UNREACHABLE}. */
     void timeOut() {
         if (state == State.PENDING) {
             state = State.UNREACHABLE;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FloorRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FloorRequest.java
@@ -4,7 +4,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks the home of a primary for a position that a majority confirms after this request arrived.
+ * Requests from the home of a primary a log position that a majority confirms after the request arrived.
  *
  * @param id number that the reply repeats
  * @param primary the primary
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FloorServer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FloorServer.java
@@ -15,7 +15,10 @@
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.core.session.EndpointTable;
 
-/** The home's side of floors: reads the primary's position and has it confirmed, for all waiting requests at once. */
+/**
+ * Serves floor requests at the home of a primary: reads the primary's position and has it confirmed by a majority, once
+ * for all waiting requests.
+ */
 final class FloorServer {
 
     private static final int MAX_WAITING = 4_096;
@@ -84,7 +87,7 @@
         startNext(queue, nowMillis, out);
     }
 
-    /** Takes the floor; empty when it could not be confirmed. */
+    /** Receives the floor; empty if it could not be confirmed. */
     @FunctionalInterface
     interface FloorCallback {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupMonitorSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupMonitorSystem.java
@@ -29,11 +29,11 @@
 import org.hyssopswitch.core.session.EndpointTable;
 
 /**
- * Polls the endpoints that this VM is the home of, tells the homes of their siblings, and makes an endpoint follow the
- * primary of the highest known term.
+ * Polls the endpoints that this VM is the home of, reports them to the homes of the other endpoints of their groups,
+ * and makes each endpoint follow the primary of the highest known term.
  *
- * <p>Endpoints that nobody writes to are polled and reported less often; doubt about any of them restores the full
- * rate.
+ * <p>Unused endpoints whose group receives no writes are polled less often, and reports without a change are sent less
+ * often. While any endpoint of the group is suspect, both happen at the full rate.
  */
 public final class GroupMonitorSystem implements DecisionSystem {
 
@@ -58,14 +58,14 @@
     /**
      * Creates the system.
      *
-     * @param view the VMs
-     * @param homes finds the homes of endpoints
-     * @param endpoints takes the statuses for the choice of endpoints
-     * @param groups takes the reports about the groups of this VM
+     * @param view the membership view of this VM
+     * @param homes resolves the homes of endpoints
+     * @param endpoints receives the statuses that endpoint selection uses
+     * @param groups receives the reports about the groups of this VM
      * @param router makes the control calls
-     * @param settings times
-     * @param random jitter
-     * @param load statements that run or wait at this VM for an endpoint
+     * @param settings timings of failure detection
+     * @param random source of jitter
+     * @param load returns the number of statements that this VM runs or queues for an endpoint
      * @param inUse whether some VM sends statements to an endpoint
      */
     public GroupMonitorSystem(
@@ -89,7 +89,7 @@
         this.inUse = inUse;
     }
 
-    /** The groups in which this VM is the home of an endpoint. */
+    /** Returns the groups in which this VM is the home of an endpoint. */
     public List<DatabaseDeclaration> ownGroups() {
         return monitored.values().stream()
                 .map(MonitoredEndpoint::database)
@@ -107,12 +107,12 @@
     }
 
     /**
-     * Takes a report as if it had just been measured, and passes it on to the other homes of the group.
+     * Stores a status as of now and sends it to the other homes of the group.
      *
      * @param database the group
      * @param status the endpoint's status
      * @param nowMillis milliseconds of the monotonic clock
-     * @param out takes the actions to perform
+     * @param out receives the actions to perform
      */
     public void publish(DatabaseDeclaration database, EndpointStatus status, long nowMillis, Outbox out) {
         GroupReport report = new GroupReport(new EndpointHint(status, 0, 0), 0);
@@ -163,7 +163,10 @@
         }
     }
 
-    /** Takes a report of another home; a primary that was not known makes the siblings be polled at once. */
+    /**
+     * Stores a report of another home. A report of a primary not yet known triggers an immediate poll of the endpoints
+     * of its group.
+     */
     private void onRemoteReport(GroupReport report, long nowMillis) {
         EndpointStatus status = report.hint().status();
         boolean known = groups.row(status.endpoint())
@@ -235,7 +238,10 @@
         endpoints.observe(report.hint(), nowMillis);
     }
 
-    /** Makes the endpoint follow when a primary of a higher term, or of the term it was fenced at, is known. */
+    /**
+     * Makes the endpoint follow the known primary if that is of a higher term, or of the term at which the endpoint was
+     * fenced.
+     */
     private void follow(MonitoredEndpoint row, EndpointStatus status, long nowMillis, Outbox out) {
         Optional<EndpointStatus> primary = groups.primary(row.database()).map(GroupRow::status);
         if (primary.isEmpty() || primary.get().endpoint().equals(status.endpoint())) {
@@ -252,13 +258,18 @@
         }
     }
 
-    /** The time between polls: short while the group is used or any report of it gives doubt. */
+    /**
+     * Returns the poll interval: short while the endpoint is in use or has advanced recently, or while any endpoint of
+     * its group is suspect.
+     */
     private long pollInterval(MonitoredEndpoint row, long nowMillis) {
         boolean used = row.isActive(nowMillis) || inUse.test(row.endpoint().id());
         return used || isGroupSuspect(row, nowMillis) ? settings.activePollMillis() : settings.idlePollMillis();
     }
 
-    /** The time between reports that bring nothing new: short only in doubt, since reports cost traffic. */
+    /**
+     * Returns the interval of unchanged reports: short only while the group is suspect, to limit traffic between VMs.
+     */
     private long reportInterval(MonitoredEndpoint row, long nowMillis) {
         return isGroupSuspect(row, nowMillis) ? settings.activePollMillis() : settings.idlePollMillis();
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupReport.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupReport.java
@@ -3,17 +3,17 @@
 import org.hyssopswitch.core.session.EndpointHint;
 
 /**
- * What the home of an endpoint tells the other homes of its group.
+ * Report about one endpoint that its home sends to the other homes of the group.
  *
- * @param hint the endpoint's last status, its age and load
- * @param unresponsiveMillis milliseconds for which all status calls to the endpoint have failed; 0 while it answers
+ * @param hint the endpoint's last status with its age, and the endpoint's load
+ * @param unresponsiveMillis milliseconds for which all status calls to the endpoint have failed; 0 while it responds
  */
 public record GroupReport(EndpointHint hint, long unresponsiveMillis) {
 
     /** Checks the range. */
     public GroupReport {
         if (unresponsiveMillis < 0) {
-            throw new IllegalArgumentException("silence must not be negative, but is " + unresponsiveMillis);
+            throw new IllegalArgumentException("unresponsive time must not be negative, but is " + unresponsiveMillis);
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupReports.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupReports.java
@@ -4,7 +4,7 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Reports about endpoints of the sender for a VM that is home to siblings of them.
+ * Reports about endpoints of the sender, for a VM that is the home of other endpoints of the same groups.
  *
  * @param reports the reports
  */
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/GroupTable.java
@@ -10,7 +10,10 @@
 import org.hyssopswitch.core.identity.EndpointId;
 import org.hyssopswitch.core.position.EndpointStatus;
 
-/** The last report about every endpoint of the groups that this VM is a home of. Confined to the decision thread. */
+/**
+ * Holds the last report about every endpoint of the groups in which this VM is the home of an endpoint. Confined to the
+ * decision thread.
+ */
 public final class GroupTable {
 
     private final Map<EndpointId, GroupRow> rows = new HashMap<>();
@@ -19,7 +22,7 @@
     public GroupTable() {}
 
     /**
-     * Takes a report unless the endpoint is already known in a higher term.
+     * Stores a report unless a report of the endpoint with a higher term is stored already.
      *
      * @param report the report
      * @param nowMillis milliseconds of the monotonic clock
@@ -35,7 +38,7 @@
     }
 
     /**
-     * Finds the row of an endpoint.
+     * Returns the row of an endpoint, or empty if no report has arrived.
      *
      * @param endpoint the endpoint
      */
@@ -44,7 +47,7 @@
     }
 
     /**
-     * The known rows of a group.
+     * Returns the rows of the endpoints of a group for which a report has arrived.
      *
      * @param database the group
      */
@@ -53,7 +56,7 @@
     }
 
     /**
-     * The primary of the highest known term.
+     * Returns the primary of the highest known term.
      *
      * @param database the group
      */
@@ -63,7 +66,7 @@
     }
 
     /**
-     * The highest term that any endpoint of a group is known to have accepted.
+     * Returns the highest term that any endpoint of a group is known to have accepted, or 0 if none is known.
      *
      * @param database the group
      */
@@ -74,7 +77,7 @@
                 .orElse(0);
     }
 
-    /** Forgets all endpoints but the given ones. */
+    /** Removes the rows of all endpoints except the given ones. */
     void retain(Set<EndpointId> endpoints) {
         rows.keySet().retainAll(endpoints);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MajorityCommitConfirmer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MajorityCommitConfirmer.java
@@ -15,15 +15,16 @@
 import org.hyssopswitch.core.session.EndpointTable;
 
 /**
- * Confirms positions by awaiting them at the endpoints of the group, one await per endpoint at a time.
+ * Confirms log positions by awaiting them at the endpoints of the group, with at most one await in flight per endpoint.
  *
- * <p>An endpoint confirms a ticket only by an await that was sent after the ticket was requested and that it accepted
- * in the ticket's term. A majority of such answers, the primary's included, proves that no promotion to a higher term had fenced a majority when
- * the ticket was requested, and that every later promotion keeps the position.
+ * <p>An endpoint confirms a ticket only by an await that was sent after the ticket was requested and that the endpoint
+ * accepted in the ticket's term. A majority of such confirmations, including the primary's, proves that no promotion to
+ * a higher term had fenced a majority when the ticket was requested, and that every later promotion preserves the
+ * position.
  */
 public final class MajorityCommitConfirmer implements CommitConfirmer, DecisionSystem {
 
-    /** Local, so that only the endpoint itself can be slow. */
+    /** The call to the primary is local, so that only the primary itself can be slow. */
     private static final long PRIMARY_TIMEOUT_MILLIS = 2_500;
 
     private static final long SIBLING_TIMEOUT_MILLIS = 1_000;
@@ -39,7 +40,7 @@
     /**
      * Creates a confirmer.
      *
-     * @param router makes the calls
+     * @param router makes the control calls
      * @param endpoints the declared endpoints
      */
     public MajorityCommitConfirmer(ControlRouter router, EndpointTable endpoints) {
@@ -62,7 +63,7 @@
         sendAwaits(confirmations, nowMillis, out);
     }
 
-    /** Confirms for a system of this VM, which gets the result in a callback instead of an action. */
+    /** Confirms for a system of this VM, which receives the result through a callback instead of an action. */
     void confirm(
             EndpointId primary,
             LogPosition position,
@@ -86,7 +87,7 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        // answers arrive through the router
+        // Responses arrive through the router.
     }
 
     private void sendAwaits(PendingConfirmations confirmations, long nowMillis, Outbox out) {
@@ -120,7 +121,10 @@
         sendAwaits(confirmations, nowMillis, out);
     }
 
-    /** A latest read is only good at an endpoint that was the primary of the term when it confirmed. */
+    /**
+     * Whether the endpoint that was the primary of the term accepted the await in another role. A latest read is valid
+     * only at an endpoint that was still the primary of the term when it confirmed.
+     */
     private static boolean isNoLongerPrimary(
             PendingConfirmations confirmations, PendingConfirmations.Await await, ControlOutcome outcome) {
         return outcome.isAccepted()
@@ -144,7 +148,7 @@
         }
     }
 
-    /** Takes the result of a confirmation that a system of this VM requested. */
+    /** Receives the result of a confirmation that a system of this VM requested. */
     @FunctionalInterface
     interface ResolutionCallback {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MonitoredEndpoint.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MonitoredEndpoint.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.core.position.EndpointStatus;
 import org.hyssopswitch.core.session.EndpointHint;
 
-/** An endpoint that this VM is the home of, with the state of its polling. */
+/** Polling and reporting state of one endpoint that this VM is the home of. */
 final class MonitoredEndpoint {
 
     private static final long ACTIVE_MILLIS = 5_000;
@@ -39,7 +39,7 @@
         return database;
     }
 
-    /** Takes over another declaration of the same endpoint and keeps the state. */
+    /** Replaces the declaration of the endpoint and keeps the state. */
     MonitoredEndpoint updateDeclaration(MonitoredEndpoint next) {
         endpoint = next.endpoint;
         database = next.database;
@@ -59,7 +59,10 @@
         nextPollMillis = millis;
     }
 
-    /** Takes the answer of a poll; the status is dated at the time of the request, since it may be as old. */
+    /**
+     * Records the outcome of a poll; empty if it failed. The status is dated at the time of the call, since it may be
+     * that old.
+     */
     void recordPollOutcome(Optional<EndpointStatus> answer, long nowMillis, long suspectContactMillis) {
         pollInFlight = false;
         if (answer.isEmpty()) {
@@ -77,7 +80,7 @@
         status = answer;
     }
 
-    /** Whether the group has been written to of late. */
+    /** Whether the applied position of the endpoint has changed recently, or its monitoring has only begun. */
     boolean isActive(long nowMillis) {
         return nowMillis - lastAdvanceMillis <= ACTIVE_MILLIS;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PendingConfirmations.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PendingConfirmations.java
@@ -10,7 +10,7 @@
 import org.hyssopswitch.core.configuration.DatabaseDeclaration;
 import org.hyssopswitch.core.identity.EndpointId;
 
-/** The pending confirmations of one primary in one term. */
+/** Commit confirmations that are pending for one primary in one term. */
 final class PendingConfirmations {
 
     private final DatabaseDeclaration database;
@@ -47,7 +47,11 @@
         tickets.add(new Ticket(number, ++lastSequence, offset, deadlineMillis, new HashSet<>()));
     }
 
-    /** Starts an await at an endpoint for all tickets that it has not confirmed; empty when none is due. */
+    /**
+     * Returns the next await to send to an endpoint, covering all tickets that it has not confirmed, and marks it as in
+     * flight. Empty if no such ticket exists, an await is in flight, the retry delay has not elapsed or the endpoint
+     * has left the term.
+     */
     Optional<Await> nextAwait(EndpointId endpoint, long nowMillis) {
         Member member = members.get(endpoint);
         if (member.awaitInFlight || member.leftTerm || nowMillis < member.retryMillis) {
@@ -65,7 +69,7 @@
         return Optional.of(new Await(endpoint, offset, lastSequence, member.attempts));
     }
 
-    /** Takes an accepted await: it confirms the tickets that existed when it was sent, up to its offset. */
+    /** Records an accepted await: it confirms the tickets that existed when it was sent, up to its offset. */
     void recordAccepted(Await await) {
         Member member = members.get(await.endpoint());
         member.awaitInFlight = false;
@@ -75,14 +79,14 @@
                 .forEach(t -> t.confirmedBy().add(await.endpoint()));
     }
 
-    /** Takes an await of an endpoint that has accepted a higher term, or that is not the primary it was taken for. */
+    /** Records that the endpoint has accepted a higher term, or is no longer the primary that was expected. */
     void recordTermLeft(Await await) {
         Member member = members.get(await.endpoint());
         member.awaitInFlight = false;
         member.leftTerm = true;
     }
 
-    /** Takes an await without a usable answer; the next attempt goes through the other home. */
+    /** Records an await without a usable response; the next attempt goes through the other home. */
     void recordFailure(Await await, long retryMillis) {
         Member member = members.get(await.endpoint());
         member.awaitInFlight = false;
@@ -90,7 +94,7 @@
         member.retryMillis = retryMillis;
     }
 
-    /** Removes and returns the tickets that a majority with the primary has confirmed. */
+    /** Removes and returns the tickets confirmed by a majority that includes the primary. */
     List<Long> takeConfirmed() {
         return take(tickets.stream()
                 .filter(t -> t.confirmedBy().size() >= database.majority()
@@ -98,7 +102,10 @@
                 .toList());
     }
 
-    /** Removes and returns the tickets that are given up: past their deadline, or without a majority in the term. */
+    /**
+     * Removes and returns the tickets that have failed: those past their deadline, or all of them once the primary
+     * or so many endpoints have left the term that no majority remains.
+     */
     List<Long> takeFailed(long nowMillis) {
         long remaining = members.values().stream().filter(m -> !m.leftTerm).count();
         boolean unconfirmable = remaining < database.majority() || members.get(primary).leftTerm;
@@ -116,9 +123,9 @@
      * An await in flight.
      *
      * @param endpoint the endpoint
-     * @param offset the offset waited for
-     * @param sequence the last ticket that existed when it was sent
-     * @param attempt failures in a row before it
+     * @param offset the log offset awaited
+     * @param sequence sequence number of the last ticket added before it was sent
+     * @param attempt number of consecutive failures before it
      */
     record Await(EndpointId endpoint, long offset, long sequence, int attempt) {}
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionAttempt.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionAttempt.java
@@ -17,19 +17,19 @@
  * One attempt to promote an endpoint of a group in one term: fences a majority, then promotes the most advanced
  * endpoint of that majority.
  *
- * <p>Once an endpoint has been chosen the attempt never chooses another one, so that a term has one primary at most.
+ * <p>Once an endpoint has been chosen, the attempt never chooses another one, so that a term has at most one primary.
  */
 final class PromotionAttempt {
 
-    /** How the attempt stands. */
+    /** State of the attempt. */
     enum State {
-        /** Waits for a majority of fences. */
+        /** Waiting for a majority of endpoints to accept the fence. */
         FENCING,
-        /** Waits for the promoted endpoint to confirm. */
+        /** Waiting for the chosen endpoint to confirm its promotion. */
         PROMOTING,
-        /** The endpoint is primary. */
+        /** The chosen endpoint is the primary of the term. */
         DONE,
-        /** A higher term competes or the time is over. */
+        /** Another coordinator uses this term or a higher one, or the deadline has passed. */
         FAILED
     }
 
@@ -54,8 +54,8 @@
      * @param database the group
      * @param term the term, never used by this coordinator before
      * @param coordinator this coordinator
-     * @param avoided endpoints that become primary only when no majority can be fenced without them
-     * @param deadlineMillis time of the monotonic clock at which the attempt is given up
+     * @param avoided endpoints that may become primary only if no majority can be fenced without them
+     * @param deadlineMillis time of the monotonic clock at which the attempt fails
      * @param router makes the control calls
      */
     PromotionAttempt(
@@ -83,12 +83,12 @@
         return term;
     }
 
-    /** The highest term seen in answers. */
+    /** Returns the highest term seen in responses, and at least the term of this attempt. */
     long highestTerm() {
         return highestTerm;
     }
 
-    /** The status of the promoted endpoint, once it has confirmed. */
+    /** Returns the status of the promoted endpoint once it has confirmed its promotion. */
     Optional<EndpointStatus> promoted() {
         return state == State.DONE ? chosen : Optional.empty();
     }
@@ -127,7 +127,7 @@
             EndpointId endpoint, ControlRequest request, ControlOutcome outcome, long nowMillis, Outbox out) {
         outcome.status().ifPresent(s -> highestTerm = Math.max(highestTerm, s.acceptedTerm()));
         if (outcome.result() == ControlResult.REFUSED && isRelevant(request)) {
-            // another coordinator uses this term or a higher one
+            // Another coordinator uses this term or a higher one.
             state = State.FAILED;
         } else if (outcome.isAccepted() && isRelevant(request) && state == State.FENCING) {
             fenced.put(endpoint, outcome.status().orElseThrow());
@@ -141,14 +141,14 @@
         step(nowMillis, out);
     }
 
-    /** Whether the outcome of a request still matters; a late fence does not once a majority is fenced. */
+    /** Whether the outcome of a request still matters; that of a fence does not once a majority is fenced. */
     private boolean isRelevant(ControlRequest request) {
         return state == (request instanceof ControlRequest.Fence ? State.FENCING : State.PROMOTING);
     }
 
     /**
-     * Chooses the most advanced endpoint of a fenced majority. Any majority holds every acknowledged write, hence also
-     * one without the avoided endpoints, even when those are more advanced.
+     * Chooses the most advanced endpoint of a fenced majority. Every majority holds all acknowledged writes, so a
+     * majority without the avoided endpoints is sufficient even if those are more advanced.
      */
     private void chooseCandidate() {
         if (fenced.size() < database.majority()) {
@@ -166,7 +166,7 @@
         state = State.PROMOTING;
     }
 
-    /** Whether the first fence of some endpoint is still under way. */
+    /** Whether the first fence of some endpoint is still in flight. */
     private boolean hasFirstFencePending() {
         return database.endpoints().stream()
                 .anyMatch(e -> !fenced.containsKey(e.id()) && calls.get(e.id()).attempts == 0);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
@@ -22,10 +22,11 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * Orders promotions in the groups that this VM is a home of.
+ * Coordinates promotions in the groups in which this VM is the home of an endpoint.
  *
- * <p>When a promotion is due, the home of the most advanced replica begins first and the others after a delay each. An
- * coordinator claims the platform's lease when the platform answers, and goes on without it when it does not.
+ * <p>When a promotion is required, the home of the most advanced replica starts first and the other homes after a delay
+ * that grows with their rank. A coordinator claims the failover lease of the platform, and continues without it if the
+ * platform is unreachable.
  */
 public final class PromotionSystem implements DecisionSystem {
 
@@ -56,10 +57,10 @@
      * @param monitor the groups of this VM
      * @param groups the reports about them
      * @param router makes the control calls
-     * @param policy decides whether a promotion is due
-     * @param settings times
-     * @param numbers numbers calls uniquely within this VM
-     * @param random jitter
+     * @param policy decides whether a group requires a promotion
+     * @param settings timings of failure detection and promotion
+     * @param numbers allocates call numbers that are unique within this VM
+     * @param random source of jitter
      */
     public PromotionSystem(
             VmAddress self,
@@ -80,7 +81,7 @@
         this.coordinator = self.vm() + "/" + self.incarnation();
     }
 
-    /** The number of promotions that this VM has completed. */
+    /** Returns the number of promotions that this VM has completed. */
     public long completed() {
         return completed;
     }
@@ -88,7 +89,7 @@
     @Override
     public void tick(long nowMillis, Outbox out) {
         if (nowMillis - lastTickMillis > MAX_TICK_GAP_MILLIS) {
-            // this VM was paused: what it believed before is outdated
+            // This VM was paused, so its promotion state is outdated.
             promotions.clear();
         }
         lastTickMillis = nowMillis;
@@ -123,7 +124,7 @@
         return policy.evaluate(database, groups, nowMillis);
     }
 
-    /** The endpoints that should not become primary: those leaving, and the primary that is to be replaced. */
+    /** Returns the endpoints that should not become primary: those leaving, and the primary that is to be replaced. */
     private Set<EndpointId> avoided(DatabaseDeclaration database, long nowMillis) {
         Set<EndpointId> avoided = new HashSet<>();
         database.endpoints().stream().filter(EndpointDeclaration::leaving).forEach(e -> avoided.add(e.id()));
@@ -133,7 +134,10 @@
         return avoided;
     }
 
-    /** The place of this VM among the orderers: the home of the most advanced staying replica comes first. */
+    /**
+     * Returns the rank of this VM among the coordinators. The home of the most advanced replica that stays has rank 0;
+     * empty if this VM is the home of no endpoint of the group.
+     */
     private OptionalInt rank(DatabaseDeclaration database, long nowMillis) {
         Comparator<EndpointDeclaration> order = Comparator.comparing(EndpointDeclaration::leaving)
                 .thenComparing(e -> applied(e, nowMillis), Comparator.reverseOrder())
@@ -152,12 +156,15 @@
                 .orElse(LogPosition.ZERO);
     }
 
-    /** The highest term this VM has ordered; kept as long as the VM runs, so that it never orders a term twice. */
+    /**
+     * Returns the highest term that this VM has used or seen in a failed attempt. It is kept while the VM runs, so that
+     * the VM never uses a term twice.
+     */
     private long usedTerm(DatabaseDeclaration database) {
         return usedTerms.getOrDefault(database.id(), 0L);
     }
 
-    /** The promotion state of one group. */
+    /** Promotion state of one group. */
     private final class GroupPromotion {
         private static final long UNSET = Long.MAX_VALUE;
 
@@ -175,6 +182,7 @@
             failures = 0;
         }
 
+        /** Schedules the turn of this VM unless it is scheduled, and returns whether it has come. */
         private boolean checkTurn(DatabaseDeclaration database, long nowMillis) {
             if (turnMillis == UNSET) {
                 long rank =
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
@@ -19,10 +19,10 @@
 import org.hyssopswitch.core.session.EndpointTable;
 
 /**
- * Finds the floor of sessions that arrive without a token: a position of the primary that a majority confirms after
- * the session arrived, hence at or beyond every write that was acknowledged to the session before.
+ * Determines the floor of sessions that arrive without a token: a log position of the primary that a majority confirms
+ * after the session arrived, and hence at or beyond every write that was acknowledged to the session before.
  *
- * <p>Requests of one database are batched: while one is under way, later sessions wait for the next.
+ * <p>Requests of one database are batched: while a request is in flight, later sessions wait for the next one.
  */
 public final class SessionFloorSystem implements DecisionSystem {
 
@@ -40,11 +40,11 @@
      * Creates the system.
      *
      * @param self this VM
-     * @param homes finds the homes of endpoints
-     * @param endpoints the known endpoints
-     * @param router makes control calls
-     * @param confirmer confirms positions
-     * @param numbers numbers requests uniquely within this VM
+     * @param homes resolves the homes of endpoints
+     * @param endpoints the declared endpoints and their last known statuses
+     * @param router makes the control calls
+     * @param confirmer confirms log positions
+     * @param numbers allocates request numbers that are unique within this VM
      */
     public SessionFloorSystem(
             VmAddress self,
@@ -61,13 +61,13 @@
     }
 
     /**
-     * Requests the floor of a session; the answer is a {@code ResolveFloor} action.
+     * Requests the floor of a session; the result is emitted as a {@code ResolveFloor} action.
      *
-     * @param ticket number that the caller chose
+     * @param ticket number by which the caller matches the result
      * @param database the database
-     * @param deadlineMillis time of the monotonic clock at which the request is given up
+     * @param deadlineMillis time of the monotonic clock at which the request fails
      * @param nowMillis milliseconds of the monotonic clock
-     * @param out takes the actions to perform
+     * @param out receives the actions to perform
      */
     public void request(long ticket, DatabaseId database, long deadlineMillis, long nowMillis, Outbox out) {
         endpoints.use(database, nowMillis);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/package-info.java
@@ -1,2 +1,5 @@
-/** Failure detection and promotion of database groups. */
+/**
+ * Failure detection, promotion and commit confirmation of database groups. Belongs to the core engine, which serves the
+ * PostgreSQL listener.
+ */
 package org.hyssopswitch.core.failover;
