--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/LeaseClaim.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/FailoverLeaseClaim.java
@@ -10,25 +10,25 @@
 import org.hyssopswitch.core.identity.DatabaseId;
 
 /**
- * Claims the failover lease of one group: reads it, updates it on condition, and re-reads it when the answer to the
- * update was lost.
+ * Claims the failover lease of one group: reads it, updates it on condition that its version is unchanged, and reads it
+ * again if the response to the update was lost.
  */
-final class LeaseClaim {
+final class FailoverLeaseClaim {
 
-    /** How the claim stands. */
+    /** State of the claim. */
     enum State {
-        /** An answer of the platform is awaited. */
+        /** A response of the platform is pending. */
         PENDING,
         /** The lease is held. */
         HELD,
-        /** Another orderer holds the lease or took it in between. */
+        /** Another coordinator holds the lease or acquired it concurrently. */
         TAKEN,
-        /** The platform does not answer; the promotion goes on without the lease. */
+        /** The platform did not respond or rejected the call; the promotion continues without the lease. */
         UNREACHABLE
     }
 
     private final String path;
-    private final String orderer;
+    private final String coordinator;
     private final LongSupplier numbers;
     private long knownTerm;
     private long call;
@@ -40,13 +40,13 @@
      * Creates a claim.
      *
      * @param database the group
-     * @param orderer this orderer
-     * @param knownTerm the highest term known of the group; a lease of a term up to it has served its purpose
-     * @param numbers numbers the calls
+     * @param coordinator the coordinator that claims the lease
+     * @param knownTerm the highest known term of the group; a lease of this or a lower term is obsolete
+     * @param numbers allocates call numbers
      */
-    LeaseClaim(DatabaseId database, String orderer, long knownTerm, LongSupplier numbers) {
+    FailoverLeaseClaim(DatabaseId database, String coordinator, long knownTerm, LongSupplier numbers) {
         this.path = FailoverLease.path(database);
-        this.orderer = orderer;
+        this.coordinator = coordinator;
         this.knownTerm = knownTerm;
         this.numbers = numbers;
     }
@@ -55,7 +55,7 @@
         return state;
     }
 
-    /** The highest term known of endpoints and lease; the next term to order is above it. */
+    /** Returns the highest term known from the endpoints and the lease; the next term must be above it. */
     long knownTerm() {
         return knownTerm;
     }
@@ -65,27 +65,27 @@
         out.add(new Action.ReadObject(call, path));
     }
 
-    /** Gives up waiting for the platform. */
+    /** Ends a pending claim as {@link State#UNREACHABLE}. */
     void timeOut() {
         if (state == State.PENDING) {
             state = State.UNREACHABLE;
         }
     }
 
-    void answered(long number, Either<PlatformFailure, StoredObject> result, boolean ignoreHolder, Outbox out) {
+    void onAnswer(long number, Either<PlatformFailure, StoredObject> result, boolean ignoreHolder, Outbox out) {
         if (number != call || state != State.PENDING) {
             return;
         }
         if (result.isLeft()) {
-            failed(result.getLeft(), out);
+            onFailure(result.getLeft(), out);
         } else if (updating) {
             state = State.HELD;
         } else {
-            read(result.get(), ignoreHolder, out);
+            onLeaseRead(result.get(), ignoreHolder, out);
         }
     }
 
-    private void failed(PlatformFailure failure, Outbox out) {
+    private void onFailure(PlatformFailure failure, Outbox out) {
         if (failure instanceof PlatformFailure.VersionConflict) {
             state = State.TAKEN;
         } else if (failure instanceof PlatformFailure.NoAnswer && updating) {
@@ -97,9 +97,9 @@
         }
     }
 
-    private void read(StoredObject object, boolean ignoreHolder, Outbox out) {
+    private void onLeaseRead(StoredObject object, boolean ignoreHolder, Outbox out) {
         Optional<FailoverLease> lease = FailoverLease.decode(object.value());
-        boolean own = lease.filter(l -> l.orderer().equals(orderer)).isPresent();
+        boolean own = lease.filter(l -> l.coordinator().equals(coordinator)).isPresent();
         if (rereading) {
             state = own ? State.HELD : State.TAKEN;
             return;
@@ -112,7 +112,7 @@
         knownTerm = Math.max(knownTerm, leaseTerm);
         updating = true;
         call = numbers.getAsLong();
-        byte[] value = new FailoverLease(orderer, knownTerm + 1).encode();
+        byte[] value = new FailoverLease(coordinator, knownTerm + 1).encode();
         out.add(new Action.UpdateObject(call, path, object.version(), value));
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MajorityCommitConfirmer.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/MajorityCommitConfirmer.java
@@ -15,31 +15,32 @@
 import org.hyssopswitch.core.session.EndpointTable;
 
 /**
- * Confirms positions by awaiting them at the endpoints of the group, one await per endpoint at a time.
+ * Confirms log positions by awaiting them at the endpoints of the group, with at most one await in flight per endpoint.
  *
- * <p>An endpoint confirms a ticket only by an await that was sent after the ticket was requested and that it accepted
- * in the ticket's term. A majority of such answers, the primary's included, proves that no promotion to a higher term had fenced a majority when
- * the ticket was requested, and that every later promotion keeps the position.
+ * <p>An endpoint confirms a ticket only by an await that was sent after the ticket was requested and that the endpoint
+ * accepted in the ticket's term. A majority of such confirmations, including the primary's, proves that no promotion to
+ * a higher term had fenced a majority when the ticket was requested, and that every later promotion preserves the
+ * position.
  */
 public final class MajorityCommitConfirmer implements CommitConfirmer, DecisionSystem {
 
-    /** Local, so that only the endpoint itself can be slow. */
+    /** The call to the primary is local, so that only the primary itself can be slow. */
     private static final long PRIMARY_TIMEOUT_MILLIS = 2_500;
 
     private static final long SIBLING_TIMEOUT_MILLIS = 1_000;
-    private static final long RETRY_MILLIS = 30;
-    private static final long MAX_RETRY_MILLIS = 480;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 30;
+    private static final long MAX_RETRY_DELAY_MILLIS = 480;
 
     private final ControlRouter router;
     private final EndpointTable endpoints;
-    private final Map<Key, ConfirmationRound> rounds = new LinkedHashMap<>();
-    private final Map<Long, Resolution> resolutions = new LinkedHashMap<>();
+    private final Map<Key, PendingConfirmations> confirmationsByTerm = new LinkedHashMap<>();
+    private final Map<Long, ResolutionCallback> resolutionCallbacks = new LinkedHashMap<>();
     private long lastInternalTicket;
 
     /**
      * Creates a confirmer.
      *
-     * @param router makes the calls
+     * @param router makes the control calls
      * @param endpoints the declared endpoints
      */
     public MajorityCommitConfirmer(ControlRouter router, EndpointTable endpoints) {
@@ -56,98 +57,103 @@
             return;
         }
         Key key = new Key(primary, position.term());
-        ConfirmationRound round =
-                rounds.computeIfAbsent(key, k -> new ConfirmationRound(database.get(), primary, position.term()));
-        round.add(ticket, position.offset(), deadlineMillis);
-        pump(round, nowMillis, out);
+        PendingConfirmations confirmations = confirmationsByTerm.computeIfAbsent(
+                key, k -> new PendingConfirmations(database.get(), primary, position.term()));
+        confirmations.add(ticket, position.offset(), deadlineMillis);
+        sendAwaits(confirmations, nowMillis, out);
     }
 
-    /** Confirms for a system of this VM, which gets the result in a callback instead of an action. */
+    /** Confirms for a system of this VM, which receives the result through a callback instead of an action. */
     void confirm(
             EndpointId primary,
             LogPosition position,
             long deadlineMillis,
-            Resolution resolution,
+            ResolutionCallback callback,
             long nowMillis,
             Outbox out) {
         long ticket = --lastInternalTicket;
-        resolutions.put(ticket, resolution);
+        resolutionCallbacks.put(ticket, callback);
         confirm(ticket, primary, position, deadlineMillis, nowMillis, out);
     }
 
     @Override
     public void tick(long nowMillis, Outbox out) {
-        for (ConfirmationRound round : List.copyOf(rounds.values())) {
-            settle(round, nowMillis, out);
-            pump(round, nowMillis, out);
+        for (PendingConfirmations confirmations : List.copyOf(confirmationsByTerm.values())) {
+            resolveTickets(confirmations, nowMillis, out);
+            sendAwaits(confirmations, nowMillis, out);
         }
-        rounds.values().removeIf(ConfirmationRound::isEmpty);
+        confirmationsByTerm.values().removeIf(PendingConfirmations::isEmpty);
     }
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        // answers arrive through the router
+        // Responses arrive through the router.
     }
 
-    private void pump(ConfirmationRound round, long nowMillis, Outbox out) {
-        for (EndpointDeclaration endpoint : round.database().endpoints()) {
-            round.nextAwait(endpoint.id(), nowMillis).ifPresent(await -> {
-                ControlRequest request = new ControlRequest.AwaitPosition(round.term(), await.offset());
-                ControlCallback callback = (outcome, now, outbox) -> ended(round, await, outcome, now, outbox);
-                boolean primary = endpoint.id().equals(round.primary());
+    private void sendAwaits(PendingConfirmations confirmations, long nowMillis, Outbox out) {
+        for (EndpointDeclaration endpoint : confirmations.database().endpoints()) {
+            confirmations.nextAwait(endpoint.id(), nowMillis).ifPresent(await -> {
+                ControlRequest request = new ControlRequest.AwaitPosition(confirmations.term(), await.offset());
+                ControlCallback callback =
+                        (outcome, now, outbox) -> onAwaitOutcome(confirmations, await, outcome, now, outbox);
+                boolean primary = endpoint.id().equals(confirmations.primary());
                 long timeout = primary ? PRIMARY_TIMEOUT_MILLIS : SIBLING_TIMEOUT_MILLIS;
                 router.call(endpoint, request, timeout, await.attempt(), callback, nowMillis, out);
             });
         }
     }
 
-    private void ended(
-            ConfirmationRound round,
-            ConfirmationRound.Await await,
+    private void onAwaitOutcome(
+            PendingConfirmations confirmations,
+            PendingConfirmations.Await await,
             ControlOutcome outcome,
             long nowMillis,
             Outbox out) {
-        if (outcome.hasLeft(round.term()) || isDeposed(round, await, outcome)) {
-            round.left(await);
+        if (outcome.hasAcceptedTermAbove(confirmations.term()) || isNoLongerPrimary(confirmations, await, outcome)) {
+            confirmations.recordTermLeft(await);
         } else if (outcome.isAccepted()) {
-            round.reached(await);
+            confirmations.recordAccepted(await);
         } else {
-            long delay = Math.min(MAX_RETRY_MILLIS, RETRY_MILLIS << Math.min(await.attempt(), 4));
-            round.failed(await, nowMillis + delay);
+            long delay = Math.min(MAX_RETRY_DELAY_MILLIS, INITIAL_RETRY_DELAY_MILLIS << Math.min(await.attempt(), 4));
+            confirmations.recordFailure(await, nowMillis + delay);
         }
-        settle(round, nowMillis, out);
-        pump(round, nowMillis, out);
+        resolveTickets(confirmations, nowMillis, out);
+        sendAwaits(confirmations, nowMillis, out);
     }
 
-    /** A latest read is only good at an endpoint that was the primary of the term when it confirmed. */
-    private static boolean isDeposed(ConfirmationRound round, ConfirmationRound.Await await, ControlOutcome outcome) {
+    /**
+     * Whether the endpoint that was the primary of the term accepted the await in another role. A latest read is valid
+     * only at an endpoint that was still the primary of the term when it confirmed.
+     */
+    private static boolean isNoLongerPrimary(
+            PendingConfirmations confirmations, PendingConfirmations.Await await, ControlOutcome outcome) {
         return outcome.isAccepted()
-                && await.endpoint().equals(round.primary())
+                && await.endpoint().equals(confirmations.primary())
                 && outcome.status()
                         .filter(s -> s.role() == EndpointRole.PRIMARY)
                         .isEmpty();
     }
 
-    private void settle(ConfirmationRound round, long nowMillis, Outbox out) {
-        round.takeConfirmed().forEach(ticket -> resolve(ticket, true, nowMillis, out));
-        round.takeFailed(nowMillis).forEach(ticket -> resolve(ticket, false, nowMillis, out));
+    private void resolveTickets(PendingConfirmations confirmations, long nowMillis, Outbox out) {
+        confirmations.takeConfirmed().forEach(ticket -> resolve(ticket, true, nowMillis, out));
+        confirmations.takeFailed(nowMillis).forEach(ticket -> resolve(ticket, false, nowMillis, out));
     }
 
     private void resolve(long ticket, boolean confirmed, long nowMillis, Outbox out) {
-        Resolution resolution = resolutions.remove(ticket);
-        if (resolution == null) {
+        ResolutionCallback callback = resolutionCallbacks.remove(ticket);
+        if (callback == null) {
             out.add(new Action.ResolveCommit(ticket, confirmed));
         } else {
-            resolution.resolved(confirmed, nowMillis, out);
+            callback.onResolved(confirmed, nowMillis, out);
         }
     }
 
-    /** Takes the result of a confirmation that a system of this VM requested. */
+    /** Receives the result of a confirmation that a system of this VM requested. */
     @FunctionalInterface
-    interface Resolution {
+    interface ResolutionCallback {
 
         /** Called exactly once. */
-        void resolved(boolean confirmed, long nowMillis, Outbox out);
+        void onResolved(boolean confirmed, long nowMillis, Outbox out);
     }
 
     private record Key(EndpointId primary, long term) {}
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ConfirmationRound.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PendingConfirmations.java
@@ -10,8 +10,8 @@
 import org.hyssopswitch.core.configuration.DatabaseDeclaration;
 import org.hyssopswitch.core.identity.EndpointId;
 
-/** The pending confirmations of one primary in one term. */
-final class ConfirmationRound {
+/** Commit confirmations that are pending for one primary in one term. */
+final class PendingConfirmations {
 
     private final DatabaseDeclaration database;
     private final EndpointId primary;
@@ -20,7 +20,7 @@
     private final Map<EndpointId, Member> members = new HashMap<>();
     private long lastSequence;
 
-    ConfirmationRound(DatabaseDeclaration database, EndpointId primary, long term) {
+    PendingConfirmations(DatabaseDeclaration database, EndpointId primary, long term) {
         this.database = database;
         this.primary = primary;
         this.term = term;
@@ -47,10 +47,14 @@
         tickets.add(new Ticket(number, ++lastSequence, offset, deadlineMillis, new HashSet<>()));
     }
 
-    /** Starts an await at an endpoint for all tickets that it has not confirmed; empty when none is due. */
+    /**
+     * Returns the next await to send to an endpoint, covering all tickets that it has not confirmed, and marks it as in
+     * flight. Empty if no such ticket exists, an await is in flight, the retry delay has not elapsed or the endpoint
+     * has left the term.
+     */
     Optional<Await> nextAwait(EndpointId endpoint, long nowMillis) {
         Member member = members.get(endpoint);
-        if (member.outstanding || member.left || nowMillis < member.retryMillis) {
+        if (member.awaitInFlight || member.leftTerm || nowMillis < member.retryMillis) {
             return Optional.empty();
         }
         long offset = tickets.stream()
@@ -61,36 +65,36 @@
         if (offset < 0) {
             return Optional.empty();
         }
-        member.outstanding = true;
+        member.awaitInFlight = true;
         return Optional.of(new Await(endpoint, offset, lastSequence, member.attempts));
     }
 
-    /** Takes an accepted await: it confirms the tickets that existed when it was sent, up to its offset. */
-    void reached(Await await) {
+    /** Records an accepted await: it confirms the tickets that existed when it was sent, up to its offset. */
+    void recordAccepted(Await await) {
         Member member = members.get(await.endpoint());
-        member.outstanding = false;
+        member.awaitInFlight = false;
         member.attempts = 0;
         tickets.stream()
                 .filter(t -> t.sequence() <= await.sequence() && t.offset() <= await.offset())
                 .forEach(t -> t.confirmedBy().add(await.endpoint()));
     }
 
-    /** Takes an await of an endpoint that has accepted a higher term, or that is not the primary it was taken for. */
-    void left(Await await) {
+    /** Records that the endpoint has accepted a higher term, or is no longer the primary that was expected. */
+    void recordTermLeft(Await await) {
         Member member = members.get(await.endpoint());
-        member.outstanding = false;
-        member.left = true;
+        member.awaitInFlight = false;
+        member.leftTerm = true;
     }
 
-    /** Takes an await without a usable answer; the next attempt goes through the other home. */
-    void failed(Await await, long retryMillis) {
+    /** Records an await without a usable response; the next attempt goes through the other home. */
+    void recordFailure(Await await, long retryMillis) {
         Member member = members.get(await.endpoint());
-        member.outstanding = false;
+        member.awaitInFlight = false;
         member.attempts++;
         member.retryMillis = retryMillis;
     }
 
-    /** Removes and returns the tickets that a majority with the primary has confirmed. */
+    /** Removes and returns the tickets confirmed by a majority that includes the primary. */
     List<Long> takeConfirmed() {
         return take(tickets.stream()
                 .filter(t -> t.confirmedBy().size() >= database.majority()
@@ -98,12 +102,15 @@
                 .toList());
     }
 
-    /** Removes and returns the tickets that are given up: past their deadline, or without a majority in the term. */
+    /**
+     * Removes and returns the tickets that have failed: those past their deadline, or all of them once the primary
+     * or so many endpoints have left the term that no majority remains.
+     */
     List<Long> takeFailed(long nowMillis) {
-        long remaining = members.values().stream().filter(m -> !m.left).count();
-        boolean hopeless = remaining < database.majority() || members.get(primary).left;
+        long remaining = members.values().stream().filter(m -> !m.leftTerm).count();
+        boolean unconfirmable = remaining < database.majority() || members.get(primary).leftTerm;
         return take(tickets.stream()
-                .filter(t -> hopeless || nowMillis >= t.deadlineMillis())
+                .filter(t -> unconfirmable || nowMillis >= t.deadlineMillis())
                 .toList());
     }
 
@@ -116,17 +123,17 @@
      * An await in flight.
      *
      * @param endpoint the endpoint
-     * @param offset the offset waited for
-     * @param sequence the last ticket that existed when it was sent
-     * @param attempt failures in a row before it
+     * @param offset the log offset awaited
+     * @param sequence sequence number of the last ticket added before it was sent
+     * @param attempt number of consecutive failures before it
      */
     record Await(EndpointId endpoint, long offset, long sequence, int attempt) {}
 
     private record Ticket(long number, long sequence, long offset, long deadlineMillis, Set<EndpointId> confirmedBy) {}
 
     private static final class Member {
-        private boolean outstanding;
-        private boolean left;
+        private boolean awaitInFlight;
+        private boolean leftTerm;
         private int attempts;
         private long retryMillis = Long.MIN_VALUE;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
@@ -19,10 +19,10 @@
 import org.hyssopswitch.core.session.EndpointTable;
 
 /**
- * Finds the floor of sessions that arrive without a token: a position of the primary that a majority confirms after
- * the session arrived, hence at or beyond every write that was acknowledged to the session before.
+ * Determines the floor of sessions that arrive without a token: a log position of the primary that a majority confirms
+ * after the session arrived, and hence at or beyond every write that was acknowledged to the session before.
  *
- * <p>Requests of one database are batched: while one is under way, later sessions wait for the next.
+ * <p>Requests of one database are batched: while a request is in flight, later sessions wait for the next one.
  */
 public final class SessionFloorSystem implements DecisionSystem {
 
@@ -40,11 +40,11 @@
      * Creates the system.
      *
      * @param self this VM
-     * @param homes finds the homes of endpoints
-     * @param endpoints the known endpoints
-     * @param router makes control calls
-     * @param confirmer confirms positions
-     * @param numbers numbers requests uniquely within this VM
+     * @param homes resolves the homes of endpoints
+     * @param endpoints the declared endpoints and their last known statuses
+     * @param router makes the control calls
+     * @param confirmer confirms log positions
+     * @param numbers allocates request numbers that are unique within this VM
      */
     public SessionFloorSystem(
             VmAddress self,
@@ -61,13 +61,13 @@
     }
 
     /**
-     * Requests the floor of a session; the answer is a {@code ResolveFloor} action.
+     * Requests the floor of a session; the result is emitted as a {@code ResolveFloor} action.
      *
-     * @param ticket number that the caller chose
+     * @param ticket number by which the caller matches the result
      * @param database the database
-     * @param deadlineMillis time of the monotonic clock at which the request is given up
+     * @param deadlineMillis time of the monotonic clock at which the request fails
      * @param nowMillis milliseconds of the monotonic clock
-     * @param out takes the actions to perform
+     * @param out receives the actions to perform
      */
     public void request(long ticket, DatabaseId database, long deadlineMillis, long nowMillis, Outbox out) {
         endpoints.use(database, nowMillis);
@@ -96,9 +96,9 @@
         }
         if (received.message() instanceof FloorRequest request) {
             VmAddress from = received.from();
-            FloorServer.Reply reply = (floor, now, outbox) -> outbox.add(new Action.SendMessage(
+            FloorServer.FloorCallback callback = (floor, now, outbox) -> outbox.add(new Action.SendMessage(
                     from, new FloorReply(request.id(), floor.map(List::of).orElse(List.of()))));
-            server.serve(request.primary(), reply, nowMillis, out);
+            server.serve(request.primary(), callback, nowMillis, out);
         } else if (received.message() instanceof FloorReply reply) {
             onReply(reply.id(), reply.floor().stream().findFirst(), nowMillis, out);
         }
@@ -116,15 +116,15 @@
         Optional<VmAddress> home = primary.flatMap(endpoints::declaration)
                 .flatMap(e -> homes.homes(e).stream().findFirst());
         if (home.isPresent()) {
-            batch.begin(numbers.getAsLong(), nowMillis + REQUEST_TIMEOUT_MILLIS);
+            batch.startRequest(numbers.getAsLong(), nowMillis + REQUEST_TIMEOUT_MILLIS);
             dispatch(home.get(), new FloorRequest(batch.request, primary.get()), nowMillis, out);
         }
     }
 
     private void dispatch(VmAddress home, FloorRequest request, long nowMillis, Outbox out) {
         if (home.equals(self)) {
-            FloorServer.Reply reply = (floor, now, outbox) -> onReply(request.id(), floor, now, outbox);
-            server.serve(request.primary(), reply, nowMillis, out);
+            FloorServer.FloorCallback callback = (floor, now, outbox) -> onReply(request.id(), floor, now, outbox);
+            server.serve(request.primary(), callback, nowMillis, out);
         } else {
             out.add(new Action.SendMessage(home, request));
         }
@@ -155,7 +155,7 @@
         private long timeoutMillis;
         private long retryMillis = Long.MIN_VALUE;
 
-        private void begin(long number, long timeout) {
+        private void startRequest(long number, long timeout) {
             request = number;
             timeoutMillis = timeout;
             retryMillis = Long.MIN_VALUE;
