--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailoverGapTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailoverGapTests.java
@@ -17,24 +17,24 @@
 /** The gap in which no write succeeds after a primary is lost, in virtual time, and promotions without a cause. */
 class FailoverGapTests {
 
-    private static final int SEEDS = 25;
-    private static final long BEGIN_MILLIS = 4_000;
-    private static final long DURATION_MILLIS = 12_000;
-    private static final long MEDIAN_GOAL_MILLIS = 2_000;
-    private static final long LONGEST_GOAL_MILLIS = 8_000;
+    private static final int SEED_COUNT = 25;
+    private static final long FAULT_BEGIN_MILLIS = 4_000;
+    private static final long FAULT_DURATION_MILLIS = 12_000;
+    private static final long MEDIAN_GAP_GOAL_MILLIS = 2_000;
+    private static final long MAX_GAP_GOAL_MILLIS = 8_000;
     private static final FailoverSettings SETTINGS = FailoverSettings.DEFAULT;
-    private static final SuspicionPolicy POLICY = new DefaultSuspicionPolicy(SETTINGS);
-    private static final SuspicionPolicy BASELINE = new FixedTimeoutPolicy(1_500);
+    private static final SuspicionPolicy DEFAULT_POLICY = new DefaultSuspicionPolicy(SETTINGS);
+    private static final SuspicionPolicy BASELINE_POLICY = new FixedTimeoutPolicy(1_500);
 
     @ParameterizedTest
     @EnumSource(
             value = Fault.class,
             names = {"PRIMARY_CUT_OFF", "REPLICATION_CUT", "PRIMARY_CRASHES", "ORDERER_PAUSED", "HOMES_DIE"})
     void neverExceedsTheLongestGap(Fault fault) {
-        long[] gaps = gaps(fault, POLICY);
-        long[] baseline = gaps(fault, BASELINE);
+        long[] gaps = sortedGapsMillis(fault, DEFAULT_POLICY);
+        long[] baseline = sortedGapsMillis(fault, BASELINE_POLICY);
         System.out.println("gap fault=" + fault + " " + describe(gaps) + " baseline: " + describe(baseline));
-        assertTrue(gaps[gaps.length - 1] < LONGEST_GOAL_MILLIS, () -> describe(gaps));
+        assertTrue(gaps[gaps.length - 1] < MAX_GAP_GOAL_MILLIS, () -> describe(gaps));
     }
 
     @ParameterizedTest
@@ -57,44 +57,47 @@
 
     @Test
     void promotesNobodyWhileAnswersAreSlow() {
-        long own = promotions(Fault.SLOW_ANSWERS, POLICY);
-        long baseline = promotions(Fault.SLOW_ANSWERS, BASELINE);
-        System.out.println("promotions during slow answers: " + own + " baseline: " + baseline + " runs=" + SEEDS);
-        assertEquals(0, own);
+        long promotions = countPromotions(Fault.SLOW_ANSWERS, DEFAULT_POLICY);
+        long baseline = countPromotions(Fault.SLOW_ANSWERS, BASELINE_POLICY);
+        System.out.println(
+                "promotions during slow answers: " + promotions + " baseline: " + baseline + " runs=" + SEED_COUNT);
+        assertEquals(0, promotions);
         assertTrue(baseline > 0);
     }
 
     private static void assertMedian(Fault fault) {
-        long[] gaps = gaps(fault, POLICY);
-        assertTrue(gaps[gaps.length / 2] < MEDIAN_GOAL_MILLIS, () -> describe(gaps));
+        long[] gaps = sortedGapsMillis(fault, DEFAULT_POLICY);
+        assertTrue(gaps[gaps.length / 2] < MEDIAN_GAP_GOAL_MILLIS, () -> describe(gaps));
     }
 
-    private static long[] gaps(Fault fault, SuspicionPolicy policy) {
-        return LongStream.rangeClosed(1, SEEDS)
-                .map(seed -> gap(run(seed, fault, policy)))
+    private static long[] sortedGapsMillis(Fault fault, SuspicionPolicy policy) {
+        return LongStream.rangeClosed(1, SEED_COUNT)
+                .map(seed -> gapMillis(run(seed, fault, policy)))
                 .sorted()
                 .toArray();
     }
 
-    private static long promotions(Fault fault, SuspicionPolicy policy) {
-        return LongStream.rangeClosed(1, SEEDS)
-                .map(seed -> run(seed, fault, policy).of(History.Promoted.class).size())
+    private static long countPromotions(Fault fault, SuspicionPolicy policy) {
+        return LongStream.rangeClosed(1, SEED_COUNT)
+                .map(seed -> run(seed, fault, policy)
+                        .entriesOf(History.EndpointPromoted.class)
+                        .size())
                 .sum();
     }
 
     private static History run(long seed, Fault fault, SuspicionPolicy policy) {
-        SuiteRun.Window window = new SuiteRun.Window(fault, BEGIN_MILLIS, DURATION_MILLIS);
-        return new SuiteRun(seed, List.of(window)).run(Mutation.NONE, policy, SETTINGS);
+        SimulationRun.Window window = new SimulationRun.Window(fault, FAULT_BEGIN_MILLIS, FAULT_DURATION_MILLIS);
+        return new SimulationRun(seed, List.of(window)).run(ProtocolMutation.NONE, policy, SETTINGS);
     }
 
     /** From the loss of the primary to the first acknowledgement in a higher term, or to the end of the run. */
-    private static long gap(History history) {
-        return history.of(History.Acked.class).stream()
+    private static long gapMillis(History history) {
+        return history.entriesOf(History.WriteAcknowledged.class).stream()
                         .filter(a -> a.term() > 1)
-                        .mapToLong(History.Acked::atMillis)
+                        .mapToLong(History.WriteAcknowledged::atMillis)
                         .findFirst()
-                        .orElse(history.of(History.Ended.class).get(0).atMillis())
-                - BEGIN_MILLIS;
+                        .orElse(history.entriesOf(History.RunEnded.class).get(0).atMillis())
+                - FAULT_BEGIN_MILLIS;
     }
 
     private static String describe(long[] sorted) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailureSuiteTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailureSuiteTests.java
@@ -11,26 +11,27 @@
 /** Every row of the table of failures alone, and every pair of rows together. */
 class FailureSuiteTests {
 
-    private static final long BEGIN_MILLIS = 4_000;
-    private static final long DURATION_MILLIS = 9_000;
+    private static final long FAULT_BEGIN_MILLIS = 4_000;
+    private static final long FAULT_DURATION_MILLIS = 9_000;
 
     @ParameterizedTest
     @MethodSource("rows")
-    void keepsThePromisesAndAcknowledgesWritesAgainAfterwards(SuiteRun run) {
-        List<History.Acked> acked = run.check().of(History.Acked.class);
-        assertTrue(acked.stream().anyMatch(a -> a.atMillis() > SuiteRun.HEALED_MILLIS), run::toString);
-        assertTrue(acked.stream().anyMatch(a -> a.atMillis() < BEGIN_MILLIS), run::toString);
+    void keepsGuaranteesAndAcknowledgesWritesAfterRecovery(SimulationRun run) {
+        List<History.WriteAcknowledged> acked = run.runAndAudit().entriesOf(History.WriteAcknowledged.class);
+        assertTrue(acked.stream().anyMatch(a -> a.atMillis() > SimulationRun.HEALED_MILLIS), run::toString);
+        assertTrue(acked.stream().anyMatch(a -> a.atMillis() < FAULT_BEGIN_MILLIS), run::toString);
     }
 
-    static Stream<SuiteRun> rows() {
-        List<SuiteRun> runs = new ArrayList<>();
+    static Stream<SimulationRun> rows() {
+        List<SimulationRun> runs = new ArrayList<>();
         Fault[] faults = Fault.values();
         for (int i = 0; i < faults.length; i++) {
-            SuiteRun.Window first = new SuiteRun.Window(faults[i], BEGIN_MILLIS, DURATION_MILLIS);
-            runs.add(new SuiteRun(100 + i, List.of(first)));
+            SimulationRun.Window first = new SimulationRun.Window(faults[i], FAULT_BEGIN_MILLIS, FAULT_DURATION_MILLIS);
+            runs.add(new SimulationRun(100 + i, List.of(first)));
             for (int j = i + 1; j < faults.length; j++) {
-                SuiteRun.Window second = new SuiteRun.Window(faults[j], BEGIN_MILLIS + 600, DURATION_MILLIS);
-                runs.add(new SuiteRun(1_000 + 20 * i + j, List.of(first, second)));
+                SimulationRun.Window second =
+                        new SimulationRun.Window(faults[j], FAULT_BEGIN_MILLIS + 600, FAULT_DURATION_MILLIS);
+                runs.add(new SimulationRun(1_000 + 20 * i + j, List.of(first, second)));
             }
         }
         return runs.stream();
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/History.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/History.java
@@ -14,22 +14,22 @@
         entries.add(entry);
     }
 
-    <T extends Entry> List<T> of(Class<T> type) {
+    <T extends Entry> List<T> entriesOf(Class<T> type) {
         return entries.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
     /** The last entries of a kind that explains a failure, one per line. */
-    String tail(int count) {
-        List<Entry> told = entries.stream()
-                .filter(e -> !(e instanceof Read)
-                        && !(e instanceof Committed)
-                        && !(e instanceof Acked)
-                        && !(e instanceof Began)
-                        && !(e instanceof Unacked)
-                        && !(e instanceof Ended))
+    String formatLastEvents(int count) {
+        List<Entry> events = entries.stream()
+                .filter(e -> !(e instanceof ReadCompleted)
+                        && !(e instanceof WriteCommitted)
+                        && !(e instanceof WriteAcknowledged)
+                        && !(e instanceof TransactionStarted)
+                        && !(e instanceof WriteNotAcknowledged)
+                        && !(e instanceof RunEnded))
                 .toList();
         StringBuilder text = new StringBuilder();
-        told.subList(Math.max(0, told.size() - count), told.size())
+        events.subList(Math.max(0, events.size() - count), events.size())
                 .forEach(e -> text.append("  ").append(e).append('\n'));
         return text.toString();
     }
@@ -38,37 +38,43 @@
         long atMillis();
     }
 
-    record FaultBegan(long atMillis, String fault) implements Entry {}
+    record FaultStarted(long atMillis, String fault) implements Entry {}
 
     record FaultEnded(long atMillis, String fault) implements Entry {}
 
-    record Promoted(long atMillis, EndpointId endpoint, long term, String orderer) implements Entry {}
+    record EndpointPromoted(long atMillis, EndpointId endpoint, long term, String coordinator) implements Entry {}
 
     /** A write entered the log of a primary. */
-    record Committed(long atMillis, int write, EndpointId endpoint, long term) implements Entry {}
+    record WriteCommitted(long atMillis, int write, EndpointId endpoint, long term) implements Entry {}
 
     /** A write was acknowledged to its session. */
-    record Acked(long atMillis, int write, int session, long term) implements Entry {}
+    record WriteAcknowledged(long atMillis, int write, int session, long term) implements Entry {}
 
     /** A write ended without an acknowledgement. */
-    record Unacked(long atMillis, int write, boolean saidNotRun) implements Entry {}
+    record WriteNotAcknowledged(long atMillis, int write, boolean reportedNotExecuted) implements Entry {}
 
     /** A read was answered; maxAge 0 for the latest. */
-    record Read(long atMillis, long startedMillis, int session, long maxAgeMillis, EndpointId endpoint, BitSet visible)
+    record ReadCompleted(
+            long atMillis,
+            long startedMillis,
+            int session,
+            long maxAgeMillis,
+            EndpointId endpoint,
+            BitSet visibleWrites)
             implements Entry {}
 
     /** A read was not answered in time. */
     record ReadFailed(long atMillis, int session) implements Entry {}
 
     /** The run ended with these writes in the log of the primary. */
-    record Ended(long atMillis, List<Integer> writes) implements Entry {}
+    record RunEnded(long atMillis, List<Integer> writes) implements Entry {}
 
     /** A transaction began at an endpoint. */
-    record Began(long atMillis, EndpointId endpoint) implements Entry {}
+    record TransactionStarted(long atMillis, EndpointId endpoint) implements Entry {}
 
     /** The endpoint was declared as staying again. */
-    record Staying(long atMillis, EndpointId endpoint) implements Entry {}
+    record EndpointDeclaredStaying(long atMillis, EndpointId endpoint) implements Entry {}
 
     /** The endpoint was declared as leaving. */
-    record Leaving(long atMillis, EndpointId endpoint) implements Entry {}
+    record EndpointDeclaredLeaving(long atMillis, EndpointId endpoint) implements Entry {}
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
@@ -14,10 +14,10 @@
 /** The audit finds every mechanism that is broken on purpose, and nothing when the same run is not broken. */
 class MutationTests {
 
-    private static final int SEEDS = 8;
+    private static final int SEED_COUNT = 8;
 
     /** All orderers begin at once, so that they meet in one term. */
-    private static final FailoverSettings HASTY =
+    private static final FailoverSettings MINIMAL_RANK_DELAY =
             new FailoverSettings(200, 1_000, 300, 800, 1_500, 2_500, 4_000, 1_500, 1);
 
     @ParameterizedTest
@@ -36,30 +36,31 @@
                 "CLAIM_NOT_RUN | PROXY_DIES@4000+1,PRIMARY_CRASHES@7000+5000 | write said not to have run has run",
                 "IGNORE_LEAVING | PRIMARY_LEAVES@4000+9000 | leaving endpoint got work"
             })
-    void findsABrokenMechanism(Mutation mutation, String faults, String promise) {
-        List<SuiteRun> runs = LongStream.rangeClosed(1, SEEDS)
-                .mapToObj(seed -> SuiteRun.parse(seed + ":" + faults))
+    void findsABrokenMechanism(ProtocolMutation mutation, String faults, String violation) {
+        List<SimulationRun> runs = LongStream.rangeClosed(1, SEED_COUNT)
+                .mapToObj(seed -> SimulationRun.parse(seed + ":" + faults))
                 .toList();
-        SuiteRun caught = runs.stream()
-                .filter(r -> violations(r, mutation, mutation).stream().anyMatch(v -> v.contains(promise)))
+        SimulationRun detectingRun = runs.stream()
+                .filter(r -> findViolations(r, mutation, mutation).stream().anyMatch(v -> v.contains(violation)))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("not found in " + SEEDS + " seeds: " + mutation));
-        assertEquals(List.of(), violations(caught, mutation, Mutation.NONE));
+                .orElseThrow(() -> new AssertionError("not found in " + SEED_COUNT + " seeds: " + mutation));
+        assertEquals(List.of(), findViolations(detectingRun, mutation, ProtocolMutation.NONE));
     }
 
     /** Runs with the policy and times under which the mechanism of a mutation matters, broken or not. */
-    private static List<String> violations(SuiteRun run, Mutation mechanism, Mutation broken) {
-        FailoverSettings settings = mechanism == Mutation.REUSE_TERM ? HASTY : FailoverSettings.DEFAULT;
+    private static List<String> findViolations(SimulationRun run, ProtocolMutation mechanism, ProtocolMutation broken) {
+        FailoverSettings settings =
+                mechanism == ProtocolMutation.REUSE_TERM ? MINIMAL_RANK_DELAY : FailoverSettings.DEFAULT;
         SuspicionPolicy policy =
                 switch (mechanism) {
-                    case PROMOTE_WITHOUT_FENCING -> suspectingHealthyPrimary(PromotionNeed.REPLACE);
-                    case REUSE_TERM -> suspectingHealthyPrimary(PromotionNeed.REPAIR);
+                    case PROMOTE_WITHOUT_FENCING -> policySuspectingHealthyPrimary(PromotionNeed.REPLACE);
+                    case REUSE_TERM -> policySuspectingHealthyPrimary(PromotionNeed.REPAIR);
                     default -> new DefaultSuspicionPolicy(settings);
                 };
-        return Audit.violations(run.run(broken, policy, settings));
+        return Audit.findViolations(run.run(broken, policy, settings));
     }
 
-    private static SuspicionPolicy suspectingHealthyPrimary(PromotionNeed need) {
+    private static SuspicionPolicy policySuspectingHealthyPrimary(PromotionNeed need) {
         return (database, table, now) -> now > 5_000 && now < 14_000 && now % 2_000 < 800 ? need : PromotionNeed.NONE;
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/Mutation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ProtocolMutation.java
@@ -1,7 +1,7 @@
 package org.hyssopswitch.core.suite;
 
 /** A mechanism that test code breaks on purpose, so that the audit has something to find. */
-enum Mutation {
+enum ProtocolMutation {
     NONE,
     /** Commits are acknowledged without asking anyone. */
     ACKNOWLEDGE_WITHOUT_MAJORITY,
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplayTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplayTests.java
@@ -6,7 +6,7 @@
 class ReplayTests {
 
     @Test
-    void keepsThePromisesInTheNamedRun() {
-        SuiteRun.parse(System.getProperty("hyssop.replay", "1:")).check();
+    void keepsGuaranteesInReplayedRun() {
+        SimulationRun.parse(System.getProperty("hyssop.replay", "1:")).runAndAudit();
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplicaShareTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplicaShareTests.java
@@ -11,38 +11,38 @@
 /** Reads served by replicas with session floors, against a baseline that ignores floors, from the same seeds. */
 class ReplicaShareTests {
 
-    private static final int SEEDS = 5;
+    private static final int SEED_COUNT = 5;
 
     @ParameterizedTest
     @ValueSource(strings = {"", "REPLICA_LAGS@1000+21000"})
     void servesReadsFromReplicasWithoutAStaleAnswer(String faults) {
-        List<History> own = runs(faults, Mutation.NONE);
-        List<History> baseline = runs(faults, Mutation.IGNORE_FLOOR);
-        System.out.println("replica share faults=" + faults + " own: " + describe(own) + " baseline: "
-                + describe(baseline) + " runs=" + SEEDS);
-        assertEquals(0, violations(own));
-        assertTrue(faults.isEmpty() || violations(baseline) > 0);
+        List<History> defaultRuns = runs(faults, ProtocolMutation.NONE);
+        List<History> baselineRuns = runs(faults, ProtocolMutation.IGNORE_FLOOR);
+        System.out.println("replica share faults=" + faults + " own: " + describe(defaultRuns) + " baseline: "
+                + describe(baselineRuns) + " runs=" + SEED_COUNT);
+        assertEquals(0, countRunsWithViolations(defaultRuns));
+        assertTrue(faults.isEmpty() || countRunsWithViolations(baselineRuns) > 0);
     }
 
-    private static List<History> runs(String faults, Mutation mutation) {
-        return LongStream.rangeClosed(1, SEEDS)
-                .mapToObj(seed -> SuiteRun.parse(seed + ":" + faults).run(mutation))
+    private static List<History> runs(String faults, ProtocolMutation mutation) {
+        return LongStream.rangeClosed(1, SEED_COUNT)
+                .mapToObj(seed -> SimulationRun.parse(seed + ":" + faults).run(mutation))
                 .toList();
     }
 
-    private static long violations(List<History> runs) {
-        return runs.stream().filter(h -> !Audit.violations(h).isEmpty()).count();
+    private static long countRunsWithViolations(List<History> runs) {
+        return runs.stream().filter(h -> !Audit.findViolations(h).isEmpty()).count();
     }
 
     private static String describe(List<History> runs) {
-        List<History.Read> aged = runs.stream()
-                .flatMap(h -> h.of(History.Read.class).stream())
+        List<History.ReadCompleted> boundedReads = runs.stream()
+                .flatMap(h -> h.entriesOf(History.ReadCompleted.class).stream())
                 .filter(r -> r.maxAgeMillis() > 0)
                 .toList();
-        long replica = aged.stream()
+        long replicaReads = boundedReads.stream()
                 .filter(r -> !r.endpoint().value().equals("e-recife"))
                 .count();
-        return replica * 100 / aged.size() + "% of " + aged.size() + " aged reads, runs with stale answers "
-                + violations(runs);
+        return replicaReads * 100 / boundedReads.size() + "% of " + boundedReads.size()
+                + " aged reads, runs with stale answers " + countRunsWithViolations(runs);
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FakeEndpoint.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedEndpoint.java
@@ -12,7 +12,7 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /** A database server by hand: a log of write numbers with terms, and the control calls of the endpoint contract. */
-final class FakeEndpoint {
+final class SimulatedEndpoint {
 
     static final int NO_WRITE = 0;
 
@@ -20,28 +20,29 @@
     final String dataCentre;
     boolean crashed;
     long answerDelayMillis;
-    long lagMillis;
+    long replicationLagMillis;
 
-    private final Mutation mutation;
+    private final ProtocolMutation mutation;
     private final History history;
-    private final List<Entry> log = new ArrayList<>();
+    private final List<LogEntry> log = new ArrayList<>();
     private EndpointRole role = EndpointRole.REPLICA;
     private long acceptedTerm = 1;
-    private String orderer = "";
-    private Optional<EndpointId> leader;
-    private long contactMillis;
-    private long dataMillis;
+    private String coordinator = "";
+    private Optional<EndpointId> followedPrimary;
+    private long lastContactMillis;
+    private long dataAsOfMillis;
 
-    FakeEndpoint(String id, String dataCentre, EndpointId leader, Mutation mutation, History history) {
+    SimulatedEndpoint(
+            String id, String dataCentre, EndpointId initialPrimary, ProtocolMutation mutation, History history) {
         this.id = new EndpointId(id);
         this.dataCentre = dataCentre;
-        this.leader = Optional.of(leader);
+        this.followedPrimary = Optional.of(initialPrimary);
         this.mutation = mutation;
         this.history = history;
-        if (this.id.equals(leader)) {
+        if (this.id.equals(initialPrimary)) {
             role = EndpointRole.PRIMARY;
         }
-        log.add(new Entry(1, NO_WRITE, 0));
+        log.add(new LogEntry(1, NO_WRITE, 0));
     }
 
     boolean isPrimary() {
@@ -52,20 +53,20 @@
         return acceptedTerm;
     }
 
-    BitSet visible() {
+    BitSet visibleWrites() {
         BitSet writes = new BitSet();
         log.forEach(e -> writes.set(e.write()));
         return writes;
     }
 
     List<Integer> writes() {
-        return log.stream().map(Entry::write).filter(w -> w != NO_WRITE).toList();
+        return log.stream().map(LogEntry::write).filter(w -> w != NO_WRITE).toList();
     }
 
     EndpointStatus status(long nowMillis) {
-        long contact = isPrimary() ? 0 : nowMillis - contactMillis;
-        long data = isPrimary() ? 0 : nowMillis - dataMillis;
-        return new EndpointStatus(id, role, acceptedTerm, applied(), termStart(), contact, data);
+        long contactAgeMillis = isPrimary() ? 0 : nowMillis - lastContactMillis;
+        long dataAgeMillis = isPrimary() ? 0 : nowMillis - dataAsOfMillis;
+        return new EndpointStatus(id, role, acceptedTerm, applied(), termStart(), contactAgeMillis, dataAgeMillis);
     }
 
     /** Commits a write, or refuses without running it. */
@@ -73,31 +74,33 @@
         if (!isPrimary()) {
             return Optional.empty();
         }
-        log.add(new Entry(acceptedTerm, write, nowMillis));
-        history.add(new History.Committed(nowMillis, write, id, acceptedTerm));
+        log.add(new LogEntry(acceptedTerm, write, nowMillis));
+        history.add(new History.WriteCommitted(nowMillis, write, id, acceptedTerm));
         return Optional.of(applied());
     }
 
     /** Answers a control call; an await that is neither reached nor refused gives nothing. */
-    Optional<ControlReply> control(ControlRequest request, long nowMillis) {
+    Optional<ControlReply> handleControl(ControlRequest request, long nowMillis) {
         if (request instanceof ControlRequest.AwaitPosition await) {
-            return await(await, nowMillis);
+            return handleAwait(await, nowMillis);
         }
         boolean accepted = true;
         if (request instanceof ControlRequest.Fence fence) {
-            accepted = fence(fence, nowMillis);
+            accepted = handleFence(fence, nowMillis);
         } else if (request instanceof ControlRequest.Promote promote) {
-            accepted = promote(promote, nowMillis);
+            accepted = handlePromote(promote, nowMillis);
         } else if (request instanceof ControlRequest.Follow follow) {
-            accepted = follow(follow, nowMillis);
+            accepted = handleFollow(follow, nowMillis);
         }
-        boolean reverse = mutation == Mutation.PROMOTE_LEAST_ADVANCED && request instanceof ControlRequest.Fence;
-        return Optional.of(new ControlReply(accepted, reverse ? reversed(nowMillis) : status(nowMillis)));
+        boolean reverse =
+                mutation == ProtocolMutation.PROMOTE_LEAST_ADVANCED && request instanceof ControlRequest.Fence;
+        return Optional.of(
+                new ControlReply(accepted, reverse ? statusWithReversedPosition(nowMillis) : status(nowMillis)));
     }
 
     /** Takes from the primary what has had time to travel. */
-    void replicate(FakeEndpoint primary, long nowMillis) {
-        if (crashed || role != EndpointRole.REPLICA || !leader.equals(Optional.of(primary.id))) {
+    void replicateFrom(SimulatedEndpoint primary, long nowMillis) {
+        if (crashed || role != EndpointRole.REPLICA || !followedPrimary.equals(Optional.of(primary.id))) {
             return;
         }
         if (!primary.isPrimary() || primary.acceptedTerm != acceptedTerm) {
@@ -110,15 +113,15 @@
         }
         log.subList(common, log.size()).clear();
         primary.log.subList(common, primary.log.size()).stream()
-                .takeWhile(e -> e.committedMillis() + lagMillis < nowMillis)
+                .takeWhile(e -> e.committedMillis() + replicationLagMillis < nowMillis)
                 .forEach(log::add);
-        contactMillis = nowMillis;
-        dataMillis = Math.max(dataMillis, nowMillis - lagMillis);
+        lastContactMillis = nowMillis;
+        dataAsOfMillis = Math.max(dataAsOfMillis, nowMillis - replicationLagMillis);
     }
 
-    private Optional<ControlReply> await(ControlRequest.AwaitPosition await, long nowMillis) {
-        if (mutation == Mutation.ACCEPT_STALE_REPLY) {
-            return Optional.of(new ControlReply(true, lying(await.term(), nowMillis)));
+    private Optional<ControlReply> handleAwait(ControlRequest.AwaitPosition await, long nowMillis) {
+        if (mutation == ProtocolMutation.ACCEPT_STALE_REPLY) {
+            return Optional.of(new ControlReply(true, statusClaimingTerm(await.term(), nowMillis)));
         }
         if (acceptedTerm > await.term()) {
             return Optional.of(new ControlReply(false, status(nowMillis)));
@@ -127,60 +130,60 @@
         return reached ? Optional.of(new ControlReply(true, status(nowMillis))) : Optional.empty();
     }
 
-    private boolean fence(ControlRequest.Fence fence, long nowMillis) {
-        if (mutation == Mutation.PROMOTE_WITHOUT_FENCING) {
+    private boolean handleFence(ControlRequest.Fence fence, long nowMillis) {
+        if (mutation == ProtocolMutation.PROMOTE_WITHOUT_FENCING) {
             return true;
         }
-        boolean sameOrderer = orderer.equals(fence.orderer()) || mutation == Mutation.REUSE_TERM;
+        boolean sameCoordinator = coordinator.equals(fence.orderer()) || mutation == ProtocolMutation.REUSE_TERM;
         if (fence.term() == acceptedTerm) {
-            orderer = fence.orderer();
-            return sameOrderer;
+            coordinator = fence.orderer();
+            return sameCoordinator;
         }
         if (fence.term() < acceptedTerm) {
             return false;
         }
-        accept(fence.term(), fence.orderer(), nowMillis);
+        acceptTerm(fence.term(), fence.orderer(), nowMillis);
         role = EndpointRole.FENCED;
         return true;
     }
 
-    private boolean promote(ControlRequest.Promote promote, long nowMillis) {
-        boolean lenient = mutation == Mutation.PROMOTE_WITHOUT_FENCING && promote.term() >= acceptedTerm;
+    private boolean handlePromote(ControlRequest.Promote promote, long nowMillis) {
+        boolean lenient = mutation == ProtocolMutation.PROMOTE_WITHOUT_FENCING && promote.term() >= acceptedTerm;
         boolean fenced = promote.term() == acceptedTerm
-                && (promote.orderer().equals(orderer) || mutation == Mutation.REUSE_TERM);
+                && (promote.orderer().equals(coordinator) || mutation == ProtocolMutation.REUSE_TERM);
         if (!fenced && !lenient) {
             return false;
         }
         if (role != EndpointRole.PRIMARY || promote.term() > acceptedTerm) {
             acceptedTerm = promote.term();
             role = EndpointRole.PRIMARY;
-            log.add(new Entry(acceptedTerm, NO_WRITE, nowMillis));
-            history.add(new History.Promoted(nowMillis, id, acceptedTerm, promote.orderer()));
+            log.add(new LogEntry(acceptedTerm, NO_WRITE, nowMillis));
+            history.add(new History.EndpointPromoted(nowMillis, id, acceptedTerm, promote.orderer()));
         }
         return true;
     }
 
-    private boolean follow(ControlRequest.Follow follow, long nowMillis) {
+    private boolean handleFollow(ControlRequest.Follow follow, long nowMillis) {
         if (follow.term() < acceptedTerm || follow.primary().equals(id)) {
             return false;
         }
         if (follow.term() == acceptedTerm && role != EndpointRole.FENCED) {
-            return leader.equals(Optional.of(follow.primary())) && role == EndpointRole.REPLICA;
+            return followedPrimary.equals(Optional.of(follow.primary())) && role == EndpointRole.REPLICA;
         }
         if (follow.term() > acceptedTerm) {
-            accept(follow.term(), "", nowMillis);
+            acceptTerm(follow.term(), "", nowMillis);
         }
         role = EndpointRole.REPLICA;
-        leader = Optional.of(follow.primary());
+        followedPrimary = Optional.of(follow.primary());
         return true;
     }
 
-    private void accept(long term, String by, long nowMillis) {
+    private void acceptTerm(long term, String newCoordinator, long nowMillis) {
         if (role == EndpointRole.PRIMARY) {
-            contactMillis = nowMillis;
+            lastContactMillis = nowMillis;
         }
         acceptedTerm = term;
-        orderer = by;
+        coordinator = newCoordinator;
     }
 
     private LogPosition applied() {
@@ -196,16 +199,16 @@
         return start;
     }
 
-    private EndpointStatus reversed(long nowMillis) {
+    private EndpointStatus statusWithReversedPosition(long nowMillis) {
         EndpointStatus s = status(nowMillis);
         LogPosition applied = new LogPosition(1, 1_000_000 - s.applied().offset());
         return new EndpointStatus(id, role, acceptedTerm, applied, s.termStart(), s.contactAgeMillis(), 0);
     }
 
-    private EndpointStatus lying(long term, long nowMillis) {
+    private EndpointStatus statusClaimingTerm(long term, long nowMillis) {
         EndpointStatus s = status(nowMillis);
         return new EndpointStatus(id, role, term, s.applied(), s.termStart(), s.contactAgeMillis(), s.dataAgeMillis());
     }
 
-    private record Entry(long term, int write, long committedMillis) {}
+    private record LogEntry(long term, int write, long committedMillis) {}
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FakePlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedPlatform.java
@@ -8,10 +8,10 @@
 import org.hyssopswitch.core.engine.StoredObject;
 
 /** The platform's objects by hand: versions and conditional updates. */
-final class FakePlatform {
+final class SimulatedPlatform {
 
-    boolean down;
-    boolean losesAnswers;
+    boolean unavailable;
+    boolean dropsUpdateAnswers;
     long delayMillis = 3;
 
     private final Map<String, StoredObject> objects = new HashMap<>();
@@ -19,12 +19,12 @@
 
     /** Runs a read or an update; an answer that is lost counts as none although the update took effect. */
     Either<PlatformFailure, StoredObject> call(Action action) {
-        if (down) {
+        if (unavailable) {
             return Either.left(new PlatformFailure.NoAnswer("", "down"));
         }
         if (action instanceof Action.UpdateObject update) {
             Either<PlatformFailure, StoredObject> result = update(update);
-            return losesAnswers ? Either.left(new PlatformFailure.NoAnswer(update.path(), "lost")) : result;
+            return dropsUpdateAnswers ? Either.left(new PlatformFailure.NoAnswer(update.path(), "lost")) : result;
         }
         return Either.right(read(((Action.ReadObject) action).path()));
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteVm.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedVm.java
@@ -17,35 +17,35 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /** One VM: its core, and whether its process runs. */
-final class SuiteVm {
+final class SimulatedVm {
 
     final VmAddress address;
     final ClusterSystems systems;
-    boolean dead;
+    boolean killed;
 
     private final DecisionEngine engine;
-    private final Feed feed = new Feed();
+    private final ConfigurationSource configurationSource = new ConfigurationSource();
     private final Consumer<Action> performer;
     private final List<Runnable> backlog = new ArrayList<>();
     private boolean paused;
 
-    SuiteVm(
+    SimulatedVm(
             VmAddress address,
             List<VmAddress> seeds,
             RandomGenerator random,
             SuspicionPolicy policy,
             FailoverSettings settings,
-            java.util.function.BiConsumer<SuiteVm, Action> performer) {
+            java.util.function.BiConsumer<SimulatedVm, Action> performer) {
         this.address = address;
         this.systems = ClusterSystems.create(address, seeds, new CallNumbers(), random, e -> 0, policy, settings);
         this.performer = a -> performer.accept(this, a);
         List<DecisionSystem> all = new ArrayList<>(systems.systems());
-        all.add(0, feed);
+        all.add(0, configurationSource);
         this.engine = new DecisionEngine(all);
     }
 
     void configure(Configuration configuration) {
-        feed.next = configuration;
+        configurationSource.configuration = configuration;
     }
 
     void tick(long nowMillis) {
@@ -57,13 +57,13 @@
     }
 
     /** Runs something of this VM's process: now, or when its pause ends, or never. */
-    void run(Runnable work, boolean keep) {
-        if (dead) {
+    void run(Runnable work, boolean queueWhilePaused) {
+        if (killed) {
             return;
         }
         if (!paused) {
             work.run();
-        } else if (keep) {
+        } else if (queueWhilePaused) {
             backlog.add(work);
         }
     }
@@ -81,17 +81,17 @@
 
     void resume() {
         paused = false;
-        List<Runnable> work = List.copyOf(backlog);
+        List<Runnable> pending = List.copyOf(backlog);
         backlog.clear();
-        work.forEach(Runnable::run);
+        pending.forEach(Runnable::run);
     }
 
-    private static final class Feed implements DecisionSystem {
-        private Configuration next = Configuration.EMPTY;
+    private static final class ConfigurationSource implements DecisionSystem {
+        private Configuration configuration = Configuration.EMPTY;
 
         @Override
         public void tick(long nowMillis, Outbox out) {
-            out.add(new Action.ApplyConfiguration(next));
+            out.add(new Action.ApplyConfiguration(configuration));
         }
 
         @Override
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteRun.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulationRun.java
@@ -9,19 +9,19 @@
 import org.hyssopswitch.core.failover.SuspicionPolicy;
 
 /** One run of the suite, determined by its seed and its faults, and printable as text that replays it. */
-record SuiteRun(long seed, List<Window> faults) {
+record SimulationRun(long seed, List<Window> faults) {
 
     static final long HEALED_MILLIS = 16_000;
     private static final long END_MILLIS = 26_000;
 
     /** Reads the form {@code seed:FAULT@begin+duration,...}. */
-    static SuiteRun parse(String text) {
+    static SimulationRun parse(String text) {
         String[] parts = text.split(":", 2);
         List<Window> windows = Arrays.stream(parts[1].split(","))
                 .filter(w -> !w.isBlank())
                 .map(Window::parse)
                 .toList();
-        return new SuiteRun(Long.parseLong(parts[0]), windows);
+        return new SimulationRun(Long.parseLong(parts[0]), windows);
     }
 
     @Override
@@ -29,44 +29,45 @@
         return seed + ":" + faults.stream().map(Window::toString).collect(Collectors.joining(","));
     }
 
-    History run(Mutation mutation) {
+    History run(ProtocolMutation mutation) {
         return run(mutation, new DefaultSuspicionPolicy(FailoverSettings.DEFAULT), FailoverSettings.DEFAULT);
     }
 
-    History run(Mutation mutation, SuspicionPolicy policy, FailoverSettings settings) {
-        SuiteCluster cluster = new SuiteCluster(seed, mutation, policy, settings);
-        SuiteWorkload workload = new SuiteWorkload(cluster);
+    History run(ProtocolMutation mutation, SuspicionPolicy policy, FailoverSettings settings) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, mutation, policy, settings);
+        SimulatedWorkload workload = new SimulatedWorkload(cluster);
         cluster.workload = workload;
         faults.forEach(w -> {
-            cluster.at(w.beginMillis(), () -> w.fault().begin(cluster));
-            cluster.at(w.beginMillis() + w.durationMillis(), () -> w.fault().end(cluster));
+            cluster.scheduleAt(w.beginMillis(), () -> w.fault().begin(cluster));
+            cluster.scheduleAt(
+                    w.beginMillis() + w.durationMillis(), () -> w.fault().end(cluster));
         });
-        cluster.at(END_MILLIS - 4_000, workload::stop);
+        cluster.scheduleAt(END_MILLIS - 4_000, workload::stop);
         cluster.runUntil(END_MILLIS);
-        cluster.history.add(new History.Ended(END_MILLIS, cluster.primary().writes()));
+        cluster.history.add(new History.RunEnded(END_MILLIS, cluster.primary().writes()));
         return cluster.history;
     }
 
     /** Runs and fails with the violations, the shortest schedule that still shows one, and the command to replay it. */
-    History check() {
-        History whole = run(Mutation.NONE);
-        if (Audit.violations(whole).isEmpty()) {
-            return whole;
+    History runAndAudit() {
+        History fullHistory = run(ProtocolMutation.NONE);
+        if (Audit.findViolations(fullHistory).isEmpty()) {
+            return fullHistory;
         }
-        SuiteRun least = minimised();
-        History history = least.run(Mutation.NONE);
-        throw new AssertionError(String.join("\n", Audit.violations(history))
-                + "\nschedule " + this + "\nminimal  " + least + "\ntrace\n" + history.tail(40)
-                + "replay: mvn -o -q test -pl hyssopswitch-core -Dtest=ReplayTests -Dhyssop.replay='" + least + "'");
+        SimulationRun minimal = minimised();
+        History minimalHistory = minimal.run(ProtocolMutation.NONE);
+        throw new AssertionError(String.join("\n", Audit.findViolations(minimalHistory))
+                + "\nschedule " + this + "\nminimal  " + minimal + "\ntrace\n" + minimalHistory.formatLastEvents(40)
+                + "replay: mvn -o -q test -pl hyssopswitch-core -Dtest=ReplayTests -Dhyssop.replay='" + minimal + "'");
     }
 
     /** Leaves out faults as long as the run still shows a violation. */
-    private SuiteRun minimised() {
+    private SimulationRun minimised() {
         for (Window window : faults) {
-            List<Window> fewer = new ArrayList<>(faults);
-            fewer.remove(window);
-            SuiteRun candidate = new SuiteRun(seed, fewer);
-            if (!Audit.violations(candidate.run(Mutation.NONE)).isEmpty()) {
+            List<Window> remaining = new ArrayList<>(faults);
+            remaining.remove(window);
+            SimulationRun candidate = new SimulationRun(seed, remaining);
+            if (!Audit.findViolations(candidate.run(ProtocolMutation.NONE)).isEmpty()) {
                 return candidate.minimised();
             }
         }
