--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/Audit.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/Audit.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** Checks a recorded history against the promises that membership, placement, sessions and failover carry. */
+/** Checks a recorded history against the guarantees of membership, placement, sessions and failover. */
 final class Audit {
 
     private static final long DRAIN_MILLIS = 3_000;
@@ -22,7 +22,7 @@
         this.history = history;
     }
 
-    /** The broken promises, one line each; empty when all hold. */
+    /** Returns the violated guarantees, one line each; empty if all guarantees hold. */
     static List<String> findViolations(History history) {
         Audit audit = new Audit(history);
         audit.checkAll();
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailoverGapTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailoverGapTests.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The gap in which no write succeeds after a primary is lost, in virtual time, and promotions without a cause. */
+/**
+ * Measures in virtual time how long no write succeeds after the loss of a primary, and checks that slow answers alone
+ * cause no promotion.
+ */
 class FailoverGapTests {
 
     private static final int SEED_COUNT = 25;
@@ -45,7 +48,7 @@
         assertMedian(fault);
     }
 
-    /** The loss of the primary together with the VMs that would replace it; see KNOWN-RED.txt. */
+    /** The primary is lost together with VMs that would drive its replacement; listed in KNOWN-RED.txt. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(
@@ -90,7 +93,7 @@
         return new SimulationRun(seed, List.of(window)).run(ProtocolMutation.NONE, policy, SETTINGS);
     }
 
-    /** From the loss of the primary to the first acknowledgement in a higher term, or to the end of the run. */
+    /** Returns the time from the fault to the first acknowledgement in a later term, or else to the end of the run. */
     private static long gapMillis(History history) {
         return history.entriesOf(History.WriteAcknowledged.class).stream()
                         .filter(a -> a.term() > 1)
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailureSuiteTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FailureSuiteTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Every row of the table of failures alone, and every pair of rows together. */
+/** Runs every fault on its own and every pair of faults with overlapping windows. */
 class FailureSuiteTests {
 
     private static final long FAULT_BEGIN_MILLIS = 4_000;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/Fault.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/Fault.java
@@ -5,33 +5,39 @@
 import java.util.function.Consumer;
 import org.hyssopswitch.core.identity.EndpointId;
 
-/** The rows of the table of failures: what begins and how it ends. */
-@SuppressWarnings("ImmutableEnumChecker") // the steps are stateless lambdas
+/** A fault that a run injects and later removes. */
+@SuppressWarnings("ImmutableEnumChecker") // the lambdas hold no state
 enum Fault {
-    /** The data centre of the primary is cut off; callers there still reach the primary. */
+    /**
+     * The primary's data centre is isolated from the other data centres and the platform; its VMs still reach the
+     * primary.
+     */
     PRIMARY_CUT_OFF(c -> c.isolatedDataCentres.add(c.primary().dataCentre), c -> c.isolatedDataCentres.clear()),
-    /** Only replication to and from the primary is cut; all VMs still reach each other. */
+    /** Replication to and from the primary is interrupted; all VMs still reach each other. */
     REPLICATION_CUT(c -> c.endpointsWithoutReplication.add(c.primary().id), c -> c.endpointsWithoutReplication.clear()),
     PRIMARY_CRASHES(c -> c.primary().crashed = true, c -> c.endpoints.values().forEach(e -> e.crashed = false)),
     REPLICAS_LAG(
             c -> c.endpoints.values().forEach(e -> e.replicationLagMillis = 2_500),
             c -> c.endpoints.values().forEach(e -> e.replicationLagMillis = 0)),
-    /** One replica lags by less than reads accept. */
+    /** One replica lags by less than the staleness that bounded reads accept. */
     REPLICA_LAGS(c -> setLag(c, "e-salvador", 700), c -> setLag(c, "e-salvador", 0)),
-    /** The home of the primary dies in the middle of its statements; dead VMs come back as new incarnations. */
+    /** The primary's home is killed while statements are in flight; killed VMs restart as new incarnations. */
     PROXY_DIES(Fault::killHome, c -> {}),
-    /** All VMs of the primary's data centre die, so that nobody can reach the primary. */
+    /** All VMs of the primary's data centre are killed, so the primary is running but unreachable. */
     HOMES_DIE(Fault::killDataCentre, Fault::startMissingVms),
     STORE_DOWN(c -> c.platform.unavailable = true, c -> c.platform.unavailable = false),
     STORE_SLOW(c -> c.platform.delayMillis = 2_000, c -> c.platform.delayMillis = 3),
     STORE_ANSWERS_LOST(c -> c.platform.dropsUpdateAnswers = true, c -> c.platform.dropsUpdateAnswers = false),
-    /** The primary is cut off and the first orderer of its replacement is paused right after its first fence. */
+    /**
+     * The primary's data centre is isolated and the first promotion coordinator pauses right after sending its first
+     * fence.
+     */
     ORDERER_PAUSED(Fault::pauseCoordinator, c -> c.isolatedDataCentres.clear()),
-    /** The primary answers statements and control calls two seconds late; replication goes on. */
+    /** The primary answers statements and control calls 2 s late; replication is not delayed. */
     SLOW_ANSWERS(
             c -> c.primary().answerDelayMillis = 2_000,
             c -> c.endpoints.values().forEach(e -> e.answerDelayMillis = 0)),
-    /** Messages between VMs are lost, repeated and reordered. */
+    /** Messages between VMs are lost, duplicated and reordered. */
     LOSSY_LINKS(c -> setLinkFaults(c, 0.1, 0.1, 60), c -> setLinkFaults(c, 0, 0, 1)),
     /** The primary is declared as leaving. */
     PRIMARY_LEAVES(c -> c.declareEndpoints(Set.of(c.primary().id)), Fault::cancelLeaving);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FixedTimeoutPolicy.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FixedTimeoutPolicy.java
@@ -5,7 +5,10 @@
 import org.hyssopswitch.core.failover.PromotionNeed;
 import org.hyssopswitch.core.failover.SuspicionPolicy;
 
-/** The simpler baseline: one observer replaces a primary of which nothing good was heard for a fixed time. */
+/**
+ * Baseline policy: replaces a primary without a fresh report for a fixed time, on the judgement of a single VM. It
+ * decides only once all endpoints of the group have reported.
+ */
 record FixedTimeoutPolicy(long timeoutMillis) implements SuspicionPolicy {
 
     @Override
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/History.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/History.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.hyssopswitch.core.identity.EndpointId;
 
-/** What happened in one run, in order of time. */
+/** The events of one run in chronological order. */
 final class History {
 
     private final List<Entry> entries = new ArrayList<>();
@@ -18,7 +18,7 @@
         return entries.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** The last entries of a kind that explains a failure, one per line. */
+    /** Formats the last entries other than those of single operations and of the end of the run, one per line. */
     String formatLastEvents(int count) {
         List<Entry> events = entries.stream()
                 .filter(e -> !(e instanceof ReadCompleted)
@@ -44,16 +44,16 @@
 
     record EndpointPromoted(long atMillis, EndpointId endpoint, long term, String coordinator) implements Entry {}
 
-    /** A write entered the log of a primary. */
+    /** A primary appended a write to its log. */
     record WriteCommitted(long atMillis, int write, EndpointId endpoint, long term) implements Entry {}
 
-    /** A write was acknowledged to its session. */
+    /** A session received the acknowledgement of its write. */
     record WriteAcknowledged(long atMillis, int write, int session, long term) implements Entry {}
 
     /** A write ended without an acknowledgement. */
     record WriteNotAcknowledged(long atMillis, int write, boolean reportedNotExecuted) implements Entry {}
 
-    /** A read was answered; maxAge 0 for the latest. */
+    /** A session received the answer to its read; {@code maxAgeMillis} is 0 for reads of the latest data. */
     record ReadCompleted(
             long atMillis,
             long startedMillis,
@@ -63,16 +63,16 @@
             BitSet visibleWrites)
             implements Entry {}
 
-    /** A read was not answered in time. */
+    /** A read failed or timed out. */
     record ReadFailed(long atMillis, int session) implements Entry {}
 
-    /** The run ended with these writes in the log of the primary. */
+    /** The run ended, with the given writes in the primary's log. */
     record RunEnded(long atMillis, List<Integer> writes) implements Entry {}
 
-    /** A transaction began at an endpoint. */
+    /** An endpoint started a transaction. */
     record TransactionStarted(long atMillis, EndpointId endpoint) implements Entry {}
 
-    /** The endpoint was declared as staying again. */
+    /** The endpoint's declaration as leaving was withdrawn. */
     record EndpointDeclaredStaying(long atMillis, EndpointId endpoint) implements Entry {}
 
     /** The endpoint was declared as leaving. */
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
@@ -11,12 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The audit finds every mechanism that is broken on purpose, and nothing when the same run is not broken. */
+/**
+ * Checks that the audit detects every deliberately broken mechanism and reports nothing for the same run without the
+ * defect.
+ */
 class MutationTests {
 
     private static final int SEED_COUNT = 8;
 
-    /** All orderers begin at once, so that they meet in one term. */
+    /** A rank delay of 1 ms makes all promotion coordinators start at once, so that they compete for the same term. */
     private static final FailoverSettings MINIMAL_RANK_DELAY =
             new FailoverSettings(200, 1_000, 300, 800, 1_500, 2_500, 4_000, 1_500, 1);
 
@@ -43,11 +46,12 @@
         SimulationRun detectingRun = runs.stream()
                 .filter(r -> findViolations(r, mutation, mutation).stream().anyMatch(v -> v.contains(violation)))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("not found in " + SEED_COUNT + " seeds: " + mutation));
+                .orElseThrow(() ->
+                        new AssertionError("the audit detected no violation in " + SEED_COUNT + " seeds: " + mutation));
         assertEquals(List.of(), findViolations(detectingRun, mutation, ProtocolMutation.NONE));
     }
 
-    /** Runs with the policy and times under which the mechanism of a mutation matters, broken or not. */
+    /** Runs with the policy and settings under which the mechanism takes effect, whether or not it is broken. */
     private static List<String> findViolations(SimulationRun run, ProtocolMutation mechanism, ProtocolMutation broken) {
         FailoverSettings settings =
                 mechanism == ProtocolMutation.REUSE_TERM ? MINIMAL_RANK_DELAY : FailoverSettings.DEFAULT;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ProtocolMutation.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ProtocolMutation.java
@@ -1,23 +1,23 @@
 package org.hyssopswitch.core.suite;
 
-/** A mechanism that test code breaks on purpose, so that the audit has something to find. */
+/** A deliberate defect in one mechanism, which proves that the audit detects its violations. */
 enum ProtocolMutation {
     NONE,
-    /** Commits are acknowledged without asking anyone. */
+    /** Commits are acknowledged without confirmation by a majority. */
     ACKNOWLEDGE_WITHOUT_MAJORITY,
-    /** Latest reads are answered without a confirmation. */
+    /** Reads of the latest data are answered without confirmation by a majority. */
     UNCONFIRMED_LATEST_READS,
-    /** Reads are sent anywhere, whatever the session has written. */
+    /** The selector ignores the session's floor. */
     IGNORE_FLOOR,
-    /** A session that arrives without a token starts with a floor of zero. */
+    /** A session that connects without a token gets a floor of zero instead of an unknown one. */
     GUESS_FLOOR,
-    /** Endpoints claim to accept a fence and go on as before. */
+    /** Endpoints report a fence as accepted without applying it, and accept promotions that no fence preceded. */
     PROMOTE_WITHOUT_FENCING,
-    /** Fenced endpoints report their positions in reverse. */
+    /** Endpoints answer fences with an inverted position, so that the least advanced one appears the most advanced. */
     PROMOTE_LEAST_ADVANCED,
-    /** Endpoints accept one term from several orderers. */
+    /** Endpoints accept the same term from several promotion coordinators. */
     REUSE_TERM,
-    /** Endpoints answer awaits by offset alone, whatever the term. */
+    /** Endpoints accept every await and report the awaited term as their own, whatever they have applied. */
     ACCEPT_STALE_REPLY,
     /** Writes whose outcome is unknown are sent again. */
     REPEAT_UNKNOWN_WRITES,
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplayTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplayTests.java
@@ -2,7 +2,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Replays the run named by the system property {@code hyssop.replay}, or a calm one. */
+/** Replays the run named by the system property {@code hyssop.replay}, or a run without faults. */
 class ReplayTests {
 
     @Test
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplicaShareTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplicaShareTests.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reads served by replicas with session floors, against a baseline that ignores floors, from the same seeds. */
+/**
+ * Compares the share of reads that replicas serve under session floors with a baseline that ignores floors, for the
+ * same seeds.
+ */
 class ReplicaShareTests {
 
     private static final int SEED_COUNT = 5;
@@ -18,8 +21,8 @@
     void servesReadsFromReplicasWithoutAStaleAnswer(String faults) {
         List<History> defaultRuns = runs(faults, ProtocolMutation.NONE);
         List<History> baselineRuns = runs(faults, ProtocolMutation.IGNORE_FLOOR);
-        System.out.println("replica share faults=" + faults + " own: " + describe(defaultRuns) + " baseline: "
-                + describe(baselineRuns) + " runs=" + SEED_COUNT);
+        System.out.println("replica share faults=" + faults + " session floors: " + describe(defaultRuns)
+                + " baseline: " + describe(baselineRuns) + " runs=" + SEED_COUNT);
         assertEquals(0, countRunsWithViolations(defaultRuns));
         assertTrue(faults.isEmpty() || countRunsWithViolations(baselineRuns) > 0);
     }
@@ -43,6 +46,6 @@
                 .filter(r -> !r.endpoint().value().equals("e-recife"))
                 .count();
         return replicaReads * 100 / boundedReads.size() + "% of " + boundedReads.size()
-                + " aged reads, runs with stale answers " + countRunsWithViolations(runs);
+                + " bounded-staleness reads, runs with violations " + countRunsWithViolations(runs);
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ScheduleTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ScheduleTests.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.ShrinkingMode;
 
-/** Generated schedules: any faults, at any moment, together or twice. */
+/** Runs generated schedules of up to six faults, which may overlap and repeat. */
 class ScheduleTests {
 
     private static final long LAST_BEGIN_MILLIS = 10_000;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedCluster.java
@@ -36,7 +36,7 @@
 import org.hyssopswitch.core.identity.VmId;
 import org.hyssopswitch.core.message.PeerMessage;
 
-/** Six VMs in three data centres, one database group and the platform, stepped under virtual time. */
+/** Six VMs in three data centres, one database group and the platform, simulated in virtual time. */
 final class SimulatedCluster {
 
     static final DatabaseId DATABASE = new DatabaseId("renewals");
@@ -115,7 +115,10 @@
                 .orElse(endpoints.values().iterator().next());
     }
 
-    /** The home of an endpoint in the view of a VM of its data centre, when one runs there. */
+    /**
+     * Returns the home of an endpoint as seen by a VM of the endpoint's data centre, or that VM if it knows no running
+     * home. Empty if no VM runs in the data centre.
+     */
     Optional<SimulatedVm> homeOf(EndpointId endpoint) {
         Optional<SimulatedVm> localVm = vms.stream()
                 .filter(v -> v.address.dataCentre().value().equals(endpoints.get(endpoint).dataCentre))
@@ -131,7 +134,7 @@
         return vms.stream().filter(v -> !v.killed && v.address.equals(address)).findFirst();
     }
 
-    /** Declares the group with some endpoints leaving, to all VMs within half a second. */
+    /** Declares the group with the given endpoints leaving; every VM receives the configuration within 500 ms. */
     void declareEndpoints(Set<EndpointId> leaving) {
         List<EndpointDeclaration> declared = endpoints.values().stream()
                 .map(e -> new EndpointDeclaration(
@@ -176,7 +179,7 @@
         scheduleAfter(millis, vm::resume);
     }
 
-    /** Sends a message that the target handles, unless the link loses it. */
+    /** Delivers a message after the link's delay, unless the link loses it. Workload messages are never duplicated. */
     void send(VmAddress from, VmAddress to, PeerMessage message) {
         if (areSeparated(from.dataCentre().value(), to.dataCentre().value()) || random.nextDouble() < dropRate) {
             return;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedEndpoint.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedEndpoint.java
@@ -11,7 +11,7 @@
 import org.hyssopswitch.core.position.EndpointStatus;
 import org.hyssopswitch.core.position.LogPosition;
 
-/** A database server by hand: a log of write numbers with terms, and the control calls of the endpoint contract. */
+/** In-memory endpoint: a log of write numbers with their terms, and the control calls of the endpoint contract. */
 final class SimulatedEndpoint {
 
     static final int NO_WRITE = 0;
@@ -69,7 +69,7 @@
         return new EndpointStatus(id, role, acceptedTerm, applied(), termStart(), contactAgeMillis, dataAgeMillis);
     }
 
-    /** Commits a write, or refuses without running it. */
+    /** Appends a write to the log; returns empty, without executing it, unless this endpoint is a running primary. */
     Optional<LogPosition> commit(int write, long nowMillis) {
         if (!isPrimary()) {
             return Optional.empty();
@@ -79,7 +79,7 @@
         return Optional.of(applied());
     }
 
-    /** Answers a control call; an await that is neither reached nor refused gives nothing. */
+    /** Answers a control call; returns empty for an await whose position is neither reached nor refused yet. */
     Optional<ControlReply> handleControl(ControlRequest request, long nowMillis) {
         if (request instanceof ControlRequest.AwaitPosition await) {
             return handleAwait(await, nowMillis);
@@ -98,7 +98,10 @@
                 new ControlReply(accepted, reverse ? statusWithReversedPosition(nowMillis) : status(nowMillis)));
     }
 
-    /** Takes from the primary what has had time to travel. */
+    /**
+     * Copies the primary's log entries that are older than the replication lag, and removes entries that diverge from
+     * it.
+     */
     void replicateFrom(SimulatedEndpoint primary, long nowMillis) {
         if (crashed || role != EndpointRole.REPLICA || !followedPrimary.equals(Optional.of(primary.id))) {
             return;
@@ -106,7 +109,7 @@
         if (!primary.isPrimary() || primary.acceptedTerm != acceptedTerm) {
             return;
         }
-        // entries of equal position and term are equal, and so is all before them
+        // logs that agree on an entry's index and term agree on all entries before it
         int common = Math.min(log.size(), primary.log.size());
         while (!log.get(common - 1).equals(primary.log.get(common - 1))) {
             common--;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedPlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedPlatform.java
@@ -7,7 +7,7 @@
 import org.hyssopswitch.core.engine.PlatformFailure;
 import org.hyssopswitch.core.engine.StoredObject;
 
-/** The platform's objects by hand: versions and conditional updates. */
+/** In-memory object store of the platform with versions and conditional updates. */
 final class SimulatedPlatform {
 
     boolean unavailable;
@@ -17,7 +17,7 @@
     private final Map<String, StoredObject> objects = new HashMap<>();
     private long version;
 
-    /** Runs a read or an update; an answer that is lost counts as none although the update took effect. */
+    /** Executes a read or an update. An update whose answer is lost takes effect and still returns a failure. */
     Either<PlatformFailure, StoredObject> call(Action action) {
         if (unavailable) {
             return Either.left(new PlatformFailure.NoAnswer("", "down"));
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedVm.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedVm.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.core.failover.SuspicionPolicy;
 import org.hyssopswitch.core.identity.VmAddress;
 
-/** One VM: its core, and whether its process runs. */
+/** One VM: its decision systems and the state of its process (running, paused or killed). */
 final class SimulatedVm {
 
     final VmAddress address;
@@ -56,7 +56,7 @@
         run(() -> engine.handle(event, clock.getAsLong()).forEach(performer), true);
     }
 
-    /** Runs something of this VM's process: now, or when its pause ends, or never. */
+    /** Runs work in this VM's process. While paused, queues or discards it; discards it once killed. */
     void run(Runnable work, boolean queueWhilePaused) {
         if (killed) {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Runs a decision of the data plane and performs its actions. */
+    /** Makes a decision for the workload and performs the resulting actions. */
     void decide(Consumer<Outbox> decision) {
         List<Action> actions = new ArrayList<>();
         decision.accept(actions::add);
@@ -96,7 +96,7 @@
 
         @Override
         public void handle(Event event, long nowMillis, Outbox out) {
-            // configurations come from the test
+            // configurations come from the simulation, not from events
         }
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedWorkload.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedWorkload.java
@@ -19,7 +19,7 @@
 import org.hyssopswitch.core.session.Selection;
 import org.hyssopswitch.core.session.SelectionRequest;
 
-/** Sessions that write and read through the selector, the homes and the confirmer, and roam between VMs. */
+/** Sessions that write and read through the selector, the homes and the commit confirmation, and roam between VMs. */
 final class SimulatedWorkload {
 
     private static final int SESSIONS = 12;
@@ -100,7 +100,10 @@
         }
     }
 
-    /** Callers arrive whether or not others wait, so a session that waits long is joined by a new one. */
+    /**
+     * Opens a new session in place of one whose operation has been pending too long: callers arrive whether or not
+     * others wait.
+     */
     private Session replaceIfBlocked(Session session) {
         boolean blocked = session.busy && cluster.now() - session.operationStartedMillis > NEW_CALLER_DELAY_MILLIS;
         return blocked ? new Session(++lastSession) : session;
@@ -320,7 +323,7 @@
         UNKNOWN
     }
 
-    /** A message of the data plane. */
+    /** A message between the workload's VMs, apart from the messages of the decision systems. */
     sealed interface Message extends PeerMessage {}
 
     record Execute(long number, int attempt, EndpointId endpoint, Kind kind, boolean confirm, int write)
@@ -373,7 +376,7 @@
             this.startedMillis = startedMillis;
         }
 
-        /** A session whose floor is not known reads the latest. */
+        /** A session without a known floor reads the latest data. */
         private RouteDeclaration effectiveRoute() {
             return session.floor.isEmpty() && route.equals(LOOKUP) ? LATEST : route;
         }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulationRun.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulationRun.java
@@ -8,13 +8,16 @@
 import org.hyssopswitch.core.failover.FailoverSettings;
 import org.hyssopswitch.core.failover.SuspicionPolicy;
 
-/** One run of the suite, determined by its seed and its faults, and printable as text that replays it. */
+/**
+ * One simulation run, fully determined by its seed and faults. {@code parse} reads the text that {@code toString}
+ * gives.
+ */
 record SimulationRun(long seed, List<Window> faults) {
 
     static final long HEALED_MILLIS = 16_000;
     private static final long END_MILLIS = 26_000;
 
-    /** Reads the form {@code seed:FAULT@begin+duration,...}. */
+    /** Parses {@code seed:FAULT@begin+duration,...}, with times in milliseconds; faults may be absent. */
     static SimulationRun parse(String text) {
         String[] parts = text.split(":", 2);
         List<Window> windows = Arrays.stream(parts[1].split(","))
@@ -48,7 +51,10 @@
         return cluster.history;
     }
 
-    /** Runs and fails with the violations, the shortest schedule that still shows one, and the command to replay it. */
+    /**
+     * Runs and audits; fails with the violations, a reduced schedule that still causes one, and the command to replay
+     * it.
+     */
     History runAndAudit() {
         History fullHistory = run(ProtocolMutation.NONE);
         if (Audit.findViolations(fullHistory).isEmpty()) {
@@ -61,7 +67,7 @@
                 + "replay: mvn -o -q test -pl hyssopswitch-core -Dtest=ReplayTests -Dhyssop.replay='" + minimal + "'");
     }
 
-    /** Leaves out faults as long as the run still shows a violation. */
+    /** Removes faults one by one for as long as the run still violates a guarantee. */
     private SimulationRun minimised() {
         for (Window window : faults) {
             List<Window> remaining = new ArrayList<>(faults);
@@ -74,7 +80,7 @@
         return this;
     }
 
-    /** A fault and when it holds. */
+    /** A fault and the period during which it is active. */
     record Window(Fault fault, long beginMillis, long durationMillis) {
         static Window parse(String text) {
             String[] parts = text.split("[@+]");
