--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
@@ -11,13 +11,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The audit finds every mechanism that is broken on purpose, and nothing when the same run is not broken. */
+/**
+ * Checks that the audit detects every deliberately broken mechanism and reports nothing for the same run without the
+ * defect.
+ */
 class MutationTests {
 
-    private static final int SEEDS = 8;
+    private static final int SEED_COUNT = 8;
 
-    /** All orderers begin at once, so that they meet in one term. */
-    private static final FailoverSettings HASTY =
+    /** A rank delay of 1 ms makes all promotion coordinators start at once, so that they compete for the same term. */
+    private static final FailoverSettings MINIMAL_RANK_DELAY =
             new FailoverSettings(200, 1_000, 300, 800, 1_500, 2_500, 4_000, 1_500, 1);
 
     @ParameterizedTest
@@ -36,31 +39,32 @@
                 "CLAIM_NOT_RUN | PROXY_DIES@4000+1,PRIMARY_CRASHES@7000+5000 | write said not to have run has run",
                 "IGNORE_LEAVING | PRIMARY_LEAVES@4000+9000 | leaving endpoint got work"
             })
-    void findsABrokenMechanism(Mutation mutation, String faults, String promise) {
-        List<SuiteRun> runs = LongStream.rangeClosed(1, SEEDS)
-                .mapToObj(seed -> SuiteRun.parse(seed + ":" + faults))
+    void findsABrokenMechanism(ProtocolMutation mutation, String faults, String violation) {
+        List<SimulationRun> runs = LongStream.rangeClosed(1, SEED_COUNT)
+                .mapToObj(seed -> SimulationRun.parse(seed + ":" + faults))
                 .toList();
-        SuiteRun caught = runs.stream()
-                .filter(r -> violations(r, mutation, mutation).stream().anyMatch(v -> v.contains(promise)))
+        SimulationRun detectingRun = runs.stream()
+                .filter(r -> findViolations(r, mutation, mutation).stream().anyMatch(v -> v.contains(violation)))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("not found in " + SEEDS + " seeds: " + mutation));
-        assertEquals(List.of(), violations(caught, mutation, Mutation.NONE));
+                .orElseThrow(() ->
+                        new AssertionError("the audit detected no violation in " + SEED_COUNT + " seeds: " + mutation));
+        assertEquals(List.of(), findViolations(detectingRun, mutation, ProtocolMutation.NONE));
     }
 
-    /** Runs with the policy and times under which the mechanism of a mutation matters, broken or not. */
-    private static List<String> violations(SuiteRun run, Mutation mechanism, Mutation broken) {
-        FailoverSettings settings = mechanism == Mutation.REUSE_TERM ? HASTY : FailoverSettings.DEFAULT;
+    /** Runs with the policy and settings under which the mechanism takes effect, whether or not it is broken. */
+    private static List<String> findViolations(SimulationRun run, ProtocolMutation mechanism, ProtocolMutation broken) {
+        FailoverSettings settings =
+                mechanism == ProtocolMutation.REUSE_TERM ? MINIMAL_RANK_DELAY : FailoverSettings.DEFAULT;
         SuspicionPolicy policy =
                 switch (mechanism) {
-                    case PROMOTE_WITHOUT_FENCING -> suspectingHealthyPrimary(RequiredPromotion.REPLACE);
-                    case REUSE_TERM -> suspectingHealthyPrimary(RequiredPromotion.REPAIR);
+                    case PROMOTE_WITHOUT_FENCING -> policySuspectingHealthyPrimary(RequiredPromotion.REPLACE);
+                    case REUSE_TERM -> policySuspectingHealthyPrimary(RequiredPromotion.REPAIR);
                     default -> new DefaultSuspicionPolicy(settings);
                 };
-        return Audit.violations(run.run(broken, policy, settings));
+        return Audit.findViolations(run.run(broken, policy, settings));
     }
 
-    private static SuspicionPolicy suspectingHealthyPrimary(RequiredPromotion required) {
-        return (database, table, now) ->
-                now > 5_000 && now < 14_000 && now % 2_000 < 800 ? required : RequiredPromotion.NONE;
+    private static SuspicionPolicy policySuspectingHealthyPrimary(RequiredPromotion need) {
+        return (database, table, now) -> now > 5_000 && now < 14_000 && now % 2_000 < 800 ? required : RequiredPromotion.NONE;
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplayTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/ReplayTests.java
@@ -2,11 +2,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Replays the run named by the system property {@code hyssop.replay}, or a calm one. */
+/** Replays the run named by the system property {@code hyssop.replay}, or a run without faults. */
 class ReplayTests {
 
     @Test
-    void keepsThePromisesInTheNamedRun() {
-        SuiteRun.parse(System.getProperty("hyssop.replay", "1:")).check();
+    void keepsGuaranteesInReplayedRun() {
+        SimulationRun.parse(System.getProperty("hyssop.replay", "1:")).runAndAudit();
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteVm.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedVm.java
@@ -16,36 +16,36 @@
 import org.hyssopswitch.core.failover.SuspicionPolicy;
 import org.hyssopswitch.core.identity.VmAddress;
 
-/** One VM: its core, and whether its process runs. */
-final class SuiteVm {
+/** One VM: its decision systems and the state of its process (running, paused or killed). */
+final class SimulatedVm {
 
     final VmAddress address;
     final ClusterSystems systems;
-    boolean dead;
+    boolean killed;
 
     private final DecisionEngine engine;
-    private final Feed feed = new Feed();
+    private final ConfigurationSource configurationSource = new ConfigurationSource();
     private final Consumer<Action> performer;
     private final List<Runnable> backlog = new ArrayList<>();
     private boolean paused;
 
-    SuiteVm(
+    SimulatedVm(
             VmAddress address,
             List<VmAddress> seeds,
             RandomGenerator random,
             SuspicionPolicy policy,
             FailoverSettings settings,
-            java.util.function.BiConsumer<SuiteVm, Action> performer) {
+            java.util.function.BiConsumer<SimulatedVm, Action> performer) {
         this.address = address;
         this.systems = ClusterSystems.create(address, seeds, new CallNumbers(), random, e -> 0, policy, settings);
         this.performer = a -> performer.accept(this, a);
         List<DecisionSystem> all = new ArrayList<>(systems.systems());
-        all.add(0, feed);
+        all.add(0, configurationSource);
         this.engine = new DecisionEngine(all);
     }
 
     void configure(Configuration configuration) {
-        feed.next = configuration;
+        configurationSource.configuration = configuration;
     }
 
     void tick(long nowMillis) {
@@ -56,19 +56,19 @@
         run(() -> engine.handle(event, clock.getAsLong()).forEach(performer), true);
     }
 
-    /** Runs something of this VM's process: now, or when its pause ends, or never. */
-    void run(Runnable work, boolean keep) {
-        if (dead) {
+    /** Runs work in this VM's process. While paused, queues or discards it; discards it once killed. */
+    void run(Runnable work, boolean queueWhilePaused) {
+        if (killed) {
             return;
         }
         if (!paused) {
             work.run();
-        } else if (keep) {
+        } else if (queueWhilePaused) {
             backlog.add(work);
         }
     }
 
-    /** Runs a decision of the data plane and performs its actions. */
+    /** Makes a decision for the workload and performs the resulting actions. */
     void decide(Consumer<Outbox> decision) {
         List<Action> actions = new ArrayList<>();
         decision.accept(actions::add);
@@ -81,22 +81,22 @@
 
     void resume() {
         paused = false;
-        List<Runnable> work = List.copyOf(backlog);
+        List<Runnable> pending = List.copyOf(backlog);
         backlog.clear();
-        work.forEach(Runnable::run);
+        pending.forEach(Runnable::run);
     }
 
-    private static final class Feed implements DecisionSystem {
-        private Configuration next = Configuration.EMPTY;
+    private static final class ConfigurationSource implements DecisionSystem {
+        private Configuration configuration = Configuration.EMPTY;
 
         @Override
         public void tick(long nowMillis, Outbox out) {
-            out.add(new Action.ApplyConfiguration(next));
+            out.add(new Action.ApplyConfiguration(configuration));
         }
 
         @Override
         public void handle(Event event, long nowMillis, Outbox out) {
-            // configurations come from the test
+            // configurations come from the simulation, not from events
         }
     }
 }
