--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/MutationTests.java
@@ -64,7 +64,8 @@
         return Audit.findViolations(run.run(broken, policy, settings));
     }
 
-    private static SuspicionPolicy policySuspectingHealthyPrimary(RequiredPromotion need) {
-        return (database, table, now) -> now > 5_000 && now < 14_000 && now % 2_000 < 800 ? required : RequiredPromotion.NONE;
+    private static SuspicionPolicy policySuspectingHealthyPrimary(RequiredPromotion required) {
+        return (database, table, now) ->
+                now > 5_000 && now < 14_000 && now % 2_000 < 800 ? required : RequiredPromotion.NONE;
     }
 }
