--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/jmh/StatementBenchmark.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/jmh/StatementBenchmark.java
@@ -15,7 +15,7 @@
 import org.hyssopswitch.core.session.Selection;
 import org.hyssopswitch.core.session.SelectionRequest;
 import org.hyssopswitch.peer.MessageCodec;
-import org.hyssopswitch.proxy.forward.CycleFacts;
+import org.hyssopswitch.proxy.forward.CycleRouting;
 import org.hyssopswitch.proxy.forward.ExecuteCycle;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -73,7 +73,7 @@
     /** Encodes and decodes a forwarded statement. */
     @Benchmark
     public PeerMessage codec() {
-        CycleFacts facts = new CycleFacts(
+        CycleRouting facts = new CycleRouting(
                 accounts[0],
                 FleetDeclarations.database(0),
                 FleetDeclarations.endpoint(0, 0),
--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/slope/StatementMeasurement.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/slope/StatementMeasurement.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.core.position.LogPosition;
 import org.hyssopswitch.core.session.SelectionRequest;
 import org.hyssopswitch.peer.MessageCodec;
-import org.hyssopswitch.proxy.forward.CycleFacts;
+import org.hyssopswitch.proxy.forward.CycleRouting;
 import org.hyssopswitch.proxy.forward.ExecuteCycle;
 
 /** Processor time of the steps that a forwarded statement takes: codec, admission, choice of an endpoint and queue. */
@@ -53,8 +53,8 @@
         return collector.slopes();
     }
 
-    private static CycleFacts facts() {
-        return new CycleFacts(
+    private static CycleRouting facts() {
+        return new CycleRouting(
                 FleetDeclarations.account(1, 1),
                 FleetDeclarations.database(1),
                 FleetDeclarations.endpoint(1, 1),
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CallerSession.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CallerSession.java
@@ -182,7 +182,7 @@
         pinnedPrimary = primary;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(last);
-        if (end.confirmed().present() && (end.confirmed().write() || floor().isEmpty())) {
+        if (end.confirmed().isPresent() && (end.confirmed().write() || floor().isEmpty())) {
             LogPosition position = end.confirmed().position();
             floor = Option.some(floor().map(f -> f.max(position)).getOrElse(position));
             String token = new SessionToken(database, floor.get()).format();
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CycleDriver.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CycleDriver.java
@@ -19,7 +19,7 @@
 import org.hyssopswitch.core.session.Selection;
 import org.hyssopswitch.core.session.SelectionRequest;
 import org.hyssopswitch.proxy.forward.AnswerEnd;
-import org.hyssopswitch.proxy.forward.CycleFacts;
+import org.hyssopswitch.proxy.forward.CycleRouting;
 import org.hyssopswitch.proxy.net.DecisionLoop.Timer;
 import org.hyssopswitch.wire.Frame;
 
@@ -262,8 +262,8 @@
         target.execute(facts(target.endpoint()), open, bytes.get());
     }
 
-    private CycleFacts facts(EndpointId endpoint) {
-        return new CycleFacts(
+    private CycleRouting facts(EndpointId endpoint) {
+        return new CycleRouting(
                 session.identity().account(),
                 session.database(),
                 endpoint,
@@ -289,7 +289,7 @@
 
     private void complete(AnswerEnd end) {
         byte[] last = rewriter.get().filter(end.frames());
-        if (end.confirmed().present()) {
+        if (end.confirmed().isPresent()) {
             context.confirmed().confirmed(session.database(), end.confirmed().position(), sentMillis);
         }
         long millis = context.nowMillis() - arrivedMillis;
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/EntryStream.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/EntryStream.java
@@ -7,7 +7,7 @@
 import org.hyssopswitch.proxy.forward.AnswerEnd;
 import org.hyssopswitch.proxy.forward.CancelCycle;
 import org.hyssopswitch.proxy.forward.ContinueCycle;
-import org.hyssopswitch.proxy.forward.CycleFacts;
+import org.hyssopswitch.proxy.forward.CycleRouting;
 import org.hyssopswitch.proxy.forward.ExecuteCycle;
 import org.hyssopswitch.proxy.forward.GrantCredit;
 import org.hyssopswitch.proxy.forward.TransactionState;
@@ -50,7 +50,7 @@
         listener = next;
     }
 
-    void execute(CycleFacts facts, boolean open, byte[] frames) {
+    void execute(CycleRouting facts, boolean open, byte[] frames) {
         sequence++;
         running = true;
         forwarder.send(home, new ExecuteCycle(number, forwarder.epoch(), sequence, facts, open, frames));
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/Confirmation.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/Confirmation.java
@@ -14,7 +14,7 @@
     public static final Confirmation NONE = new Confirmation(LogPosition.ZERO, false);
 
     /** Tells whether a position was confirmed. */
-    public boolean present() {
+    public boolean isPresent() {
         return !position.equals(LogPosition.ZERO);
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/CycleFacts.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/CycleRouting.java
@@ -16,7 +16,7 @@
  * @param floor position that the endpoint must have applied
  * @param remainingMillis milliseconds left until the statement's deadline
  */
-public record CycleFacts(
+public record CycleRouting(
         ClientAccountId account,
         DatabaseId database,
         EndpointId endpoint,
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/ExecuteCycle.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/ExecuteCycle.java
@@ -9,9 +9,9 @@
  * @param stream the stream, numbered by the entry VM
  * @param epoch incarnation of the entry VM
  * @param sequence number of the cycle in its stream, from 1
- * @param facts what routing decided
+ * @param routing what routing decided
  * @param open whether more frames of the cycle follow in {@link ContinueCycle}
  * @param frames the frames, encoded
  */
-public record ExecuteCycle(long stream, long epoch, int sequence, CycleFacts facts, boolean open, byte[] frames)
+public record ExecuteCycle(long stream, long epoch, int sequence, CycleRouting routing, boolean open, byte[] frames)
         implements PeerMessage {}
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionPool.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionPool.java
@@ -20,14 +20,14 @@
     private static final Logger LOG = LogManager.getLogger(ConnectionPool.class);
     private static final long MIN_BACKOFF_MILLIS = 100;
     private static final long MAX_BACKOFF_MILLIS = 400;
-    private static final long IDLE_MILLIS = 30_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
     private final DecisionLoop loop;
     private final RandomGenerator random;
     private final Opener opener;
-    private final Runnable changed;
+    private final Runnable onChange;
     private final Map<EndpointConnection, Long> idle = new HashMap<>();
-    private final Set<EndpointConnection> all = new LinkedHashSet<>();
+    private final Set<EndpointConnection> connections = new LinkedHashSet<>();
     private final Set<EndpointConnection> opening = new LinkedHashSet<>();
     private int limit;
     private int warm;
@@ -35,12 +35,12 @@
     private long openAfterMillis;
     private int failures;
 
-    ConnectionPool(DecisionLoop loop, RandomGenerator random, Opener opener, EndpointUser first, Runnable changed) {
+    ConnectionPool(DecisionLoop loop, RandomGenerator random, Opener opener, EndpointUser first, Runnable onChange) {
         this.loop = loop;
         this.random = random;
         this.opener = opener;
         this.lastUsed = first;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
     /**
@@ -55,7 +55,7 @@
     }
 
     int size() {
-        return all.size();
+        return connections.size();
     }
 
     /** Consecutive failures to open a connection. */
@@ -76,34 +76,34 @@
                 .min(Comparator.comparingInt(c -> preference(c, account))));
         best.forEach(idle::remove);
         if (best.isEmpty()) {
-            openFor(user);
+            openIfPossible(user);
         }
         return best;
     }
 
     void release(EndpointConnection connection) {
-        if (!connection.usable() || all.size() > limit) {
+        if (!connection.isUsable() || connections.size() > limit) {
             discard(connection);
         } else {
             idle.put(connection, loop.nowMillis());
         }
-        changed.run();
+        onChange.run();
     }
 
     void discard(EndpointConnection connection) {
         connection.close();
-        forget(connection);
+        remove(connection);
     }
 
     /** Opens connections ahead of demand and closes those unused for long. */
     void tick() {
         long now = loop.nowMillis();
         List<EndpointConnection> unused = idle.entrySet().stream()
-                .filter(e -> now - e.getValue() > IDLE_MILLIS)
+                .filter(e -> now - e.getValue() > IDLE_TIMEOUT_MILLIS)
                 .map(Map.Entry::getKey)
                 .toList();
         unused.stream().limit(Math.max(0, idle.size() - warm)).forEach(this::discard);
-        while (all.size() < Math.min(warm, limit) && mayOpen()) {
+        while (connections.size() < Math.min(warm, limit) && canOpen()) {
             open(lastUsed);
         }
     }
@@ -111,7 +111,7 @@
     void close() {
         limit = 0;
         warm = 0;
-        new ArrayList<>(all).forEach(this::discard);
+        new ArrayList<>(connections).forEach(this::discard);
     }
 
     @Override
@@ -127,13 +127,13 @@
         openAfterMillis = loop.nowMillis() + random.nextLong(MIN_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS);
         LOG.info(
                 "event=endpoint_connect_failed user={} sqlstate={} failures={}", connection.user(), sqlState, failures);
-        forget(connection);
-        changed.run();
+        remove(connection);
+        onChange.run();
     }
 
     @Override
     public void lost(EndpointConnection connection) {
-        forget(connection);
+        remove(connection);
     }
 
     private static int preference(EndpointConnection connection, ClientAccountId account) {
@@ -143,33 +143,33 @@
         return connection.account().isEmpty() ? 1 : 2;
     }
 
-    private boolean mayOpen() {
+    private boolean canOpen() {
         return loop.nowMillis() >= openAfterMillis;
     }
 
-    private void openFor(EndpointUser user) {
-        if (!mayOpen() || opening.stream().filter(c -> c.user().equals(user)).count() >= Math.max(1, warm)) {
+    private void openIfPossible(EndpointUser user) {
+        if (!canOpen() || opening.stream().filter(c -> c.user().equals(user)).count() >= Math.max(1, warm)) {
             return;
         }
-        if (all.size() >= limit) {
+        if (connections.size() >= limit) {
             Option.ofOptional(idle.keySet().stream().findFirst()).forEach(this::discard);
         }
-        if (all.size() < limit) {
+        if (connections.size() < limit) {
             open(user);
         }
     }
 
     private void open(EndpointUser user) {
         EndpointConnection connection = opener.create(user, this);
-        all.add(connection);
+        connections.add(connection);
         opening.add(connection);
         connection.open();
     }
 
-    private void forget(EndpointConnection connection) {
+    private void remove(EndpointConnection connection) {
         idle.remove(connection);
         opening.remove(connection);
-        all.remove(connection);
+        connections.remove(connection);
     }
 
     /** Creates connections. */
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionReset.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionReset.java
@@ -11,25 +11,25 @@
 final class ConnectionReset implements CycleHandler {
 
     private final EndpointConnection connection;
-    private final Consumer<Boolean> done;
+    private final Consumer<Boolean> callback;
     private boolean failed;
-    private boolean all;
-    private boolean ended;
+    private boolean discardingAll;
+    private boolean completed;
 
     /**
      * Creates a reset.
      *
      * @param connection the connection, which runs nothing
-     * @param done takes whether the connection may be used again
+     * @param callback takes whether the connection may be used again
      */
-    ConnectionReset(EndpointConnection connection, Consumer<Boolean> done) {
+    ConnectionReset(EndpointConnection connection, Consumer<Boolean> callback) {
         this.connection = connection;
-        this.done = done;
+        this.callback = callback;
     }
 
     /** Discards all session state. */
     void discardAll() {
-        all = true;
+        discardingAll = true;
         connection.run(FrontendFrames.query("DISCARD ALL").encode(), this);
     }
 
@@ -44,33 +44,33 @@
     }
 
     @Override
-    public void answered(List<Frame> frames) {
-        frames.forEach(this::take);
+    public void framesReceived(List<Frame> frames) {
+        frames.forEach(this::handleFrame);
     }
 
     @Override
-    public void lost() {
-        end(false);
+    public void connectionLost() {
+        complete(false);
     }
 
-    private void take(Frame frame) {
+    private void handleFrame(Frame frame) {
         failed |= frame.is('E');
         if (frame.is('Z')) {
-            connection.cycleEnded();
-            end(!failed && BackendFrames.parseReady(frame).contains('I'));
+            connection.endCycle();
+            complete(!failed && BackendFrames.parseReady(frame).contains('I'));
         }
     }
 
-    private void end(boolean usable) {
-        if (ended) {
+    private void complete(boolean usable) {
+        if (completed) {
             return;
         }
-        ended = true;
-        if (usable && all) {
-            connection.wasReset();
+        completed = true;
+        if (usable && discardingAll) {
+            connection.markReset();
         } else if (usable) {
             connection.preparedStatements().clear();
         }
-        done.accept(usable);
+        callback.accept(usable);
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionShare.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionShare.java
@@ -14,7 +14,7 @@
      * @param cap connections that the endpoint accepts
      * @param rank 0 for the home, 1 for the standby
      */
-    static int of(int cap, int rank) {
+    static int statementConnections(int cap, int rank) {
         int budget = Math.max(2, cap - CONTROL_CONNECTIONS);
         int home = Math.max(1, budget * 2 / 3);
         return rank == 0 ? home : Math.max(1, budget - home);
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlCodec.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlCodec.java
@@ -19,11 +19,11 @@
 /** Writes control calls as SQL and reads their rows. */
 final class ControlCodec {
 
-    private static final int COLUMNS = 9;
+    private static final int MIN_COLUMNS = 9;
 
     private ControlCodec() {}
 
-    static String sql(ControlRequest request) {
+    static String toSql(ControlRequest request) {
         if (request instanceof ControlRequest.Fence fence) {
             return call("hyssop_fence", fence.term(), quoted(fence.orderer()));
         }
@@ -39,8 +39,8 @@
         return "SELECT * FROM hyssop_status()";
     }
 
-    static Either<ControlFailure, ControlReply> reply(EndpointId endpoint, Frame row) {
-        return Try.of(() -> reply(values(row)))
+    static Either<ControlFailure, ControlReply> parseReply(EndpointId endpoint, Frame row) {
+        return Try.of(() -> toReply(readColumns(row)))
                 .toEither()
                 .mapLeft(e -> new BadReply(endpoint, e.getClass().getSimpleName()));
     }
@@ -53,10 +53,10 @@
         return "'" + text.replace("'", "''") + "'";
     }
 
-    private static List<String> values(Frame row) {
+    private static List<String> readColumns(Frame row) {
         BodyReader body = new BodyReader(row.body());
         int count = body.readShort();
-        if (count < COLUMNS) {
+        if (count < MIN_COLUMNS) {
             throw new IllegalArgumentException("a control row must have 9 columns, but has " + count);
         }
         List<String> values = new ArrayList<>();
@@ -66,16 +66,16 @@
         return values;
     }
 
-    private static ControlReply reply(List<String> v) {
-        boolean accepted = v.get(0).equals("t") || v.get(0).equals("true");
+    private static ControlReply toReply(List<String> columns) {
+        boolean accepted = columns.get(0).equals("t") || columns.get(0).equals("true");
         EndpointStatus status = new EndpointStatus(
-                new EndpointId(v.get(1)),
-                EndpointRole.valueOf(v.get(2).toUpperCase(Locale.ROOT)),
-                Long.parseLong(v.get(3)),
-                new LogPosition(Long.parseLong(v.get(4)), Long.parseLong(v.get(5))),
-                Long.parseLong(v.get(6)),
-                Long.parseLong(v.get(7)),
-                Long.parseLong(v.get(8)));
+                new EndpointId(columns.get(1)),
+                EndpointRole.valueOf(columns.get(2).toUpperCase(Locale.ROOT)),
+                Long.parseLong(columns.get(3)),
+                new LogPosition(Long.parseLong(columns.get(4)), Long.parseLong(columns.get(5))),
+                Long.parseLong(columns.get(6)),
+                Long.parseLong(columns.get(7)),
+                Long.parseLong(columns.get(8)));
         return new ControlReply(accepted, status);
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlConnection.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlConnection.java
@@ -39,10 +39,10 @@
      *
      * @param request the request
      * @param timeoutMillis milliseconds after which it fails
-     * @param target takes the answer
+     * @param callback takes the answer
      */
-    void call(ControlRequest request, long timeoutMillis, Consumer<Either<ControlFailure, ControlReply>> target) {
-        Call call = new Call(request, timeoutMillis, target);
+    void call(ControlRequest request, long timeoutMillis, Consumer<Either<ControlFailure, ControlReply>> callback) {
+        Call call = new Call(request, timeoutMillis, callback);
         call.timer = Option.some(loop.schedule(timeoutMillis, () -> timedOut(call)));
         calls.add(call);
         if (connection.isEmpty()) {
@@ -77,61 +77,61 @@
     }
 
     @Override
-    public void answered(List<Frame> frames) {
-        frames.forEach(this::take);
+    public void framesReceived(List<Frame> frames) {
+        frames.forEach(this::handleFrame);
     }
 
     @Override
-    public void lost() {
+    public void connectionLost() {
         // The owner's lost() has failed the call.
     }
 
-    private void take(Frame frame) {
+    private void handleFrame(Frame frame) {
         if (frame.is('D')) {
-            result = Option.some(ControlCodec.reply(endpoint, frame));
+            result = Option.some(ControlCodec.parseReply(endpoint, frame));
         } else if (frame.is('E')) {
             String sqlState = BackendFrames.parseError(frame)
                     .map(BackendFrames.ErrorReport::sqlState)
                     .getOrElse("");
             result = Option.some(Either.left(new ControlFailure.CallRefused(endpoint, sqlState)));
         } else if (frame.is('Z')) {
-            ready();
+            completeCurrent();
         }
     }
 
-    private void ready() {
-        connection.forEach(EndpointConnection::cycleEnded);
+    private void completeCurrent() {
+        connection.forEach(EndpointConnection::endCycle);
         Option<Call> done = current;
         Either<ControlFailure, ControlReply> answer =
                 result.getOrElse(() -> Either.left(new ControlFailure.BadReply(endpoint, "no row")));
         current = Option.none();
         result = Option.none();
-        done.forEach(c -> c.end(answer));
+        done.forEach(c -> c.complete(answer));
         runNext();
     }
 
     private void runNext() {
-        if (current.isDefined() || calls.isEmpty() || !connection.exists(EndpointConnection::usable)) {
+        if (current.isDefined() || calls.isEmpty() || !connection.exists(EndpointConnection::isUsable)) {
             return;
         }
         Call call = calls.remove();
         current = Option.some(call);
         connection
                 .get()
-                .run(FrontendFrames.query(ControlCodec.sql(call.request)).encode(), this);
+                .run(FrontendFrames.query(ControlCodec.toSql(call.request)).encode(), this);
     }
 
     /** A call that is running blocks the connection, so the connection goes with it. */
     private void timedOut(Call call) {
         if (calls.remove(call)) {
-            call.end(Either.left(new ControlFailure.TimedOut(endpoint, call.timeoutMillis)));
-            if (!connection.exists(EndpointConnection::usable)) {
+            call.complete(Either.left(new ControlFailure.TimedOut(endpoint, call.timeoutMillis)));
+            if (!connection.exists(EndpointConnection::isUsable)) {
                 connection.forEach(EndpointConnection::close);
                 failAll();
             }
         } else if (current.contains(call)) {
             current = Option.none();
-            call.end(Either.left(new ControlFailure.TimedOut(endpoint, call.timeoutMillis)));
+            call.complete(Either.left(new ControlFailure.TimedOut(endpoint, call.timeoutMillis)));
             connection.forEach(EndpointConnection::close);
             failAll();
         }
@@ -144,25 +144,25 @@
         calls.clear();
         current.forEach(failed::add);
         current = Option.none();
-        failed.forEach(c -> c.end(Either.left(new ControlFailure.ConnectionLost(endpoint))));
+        failed.forEach(c -> c.complete(Either.left(new ControlFailure.ConnectionLost(endpoint))));
     }
 
     private static final class Call {
 
         private final ControlRequest request;
         private final long timeoutMillis;
-        private final Consumer<Either<ControlFailure, ControlReply>> target;
+        private final Consumer<Either<ControlFailure, ControlReply>> callback;
         private Option<Timer> timer = Option.none();
 
-        Call(ControlRequest request, long timeoutMillis, Consumer<Either<ControlFailure, ControlReply>> target) {
+        Call(ControlRequest request, long timeoutMillis, Consumer<Either<ControlFailure, ControlReply>> callback) {
             this.request = request;
             this.timeoutMillis = timeoutMillis;
-            this.target = target;
+            this.callback = callback;
         }
 
-        void end(Either<ControlFailure, ControlReply> result) {
+        void complete(Either<ControlFailure, ControlReply> result) {
             timer.forEach(Timer::cancel);
-            target.accept(result);
+            callback.accept(result);
         }
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleHandler.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleHandler.java
@@ -11,8 +11,8 @@
      *
      * @param frames the frames, in order
      */
-    void answered(List<Frame> frames);
+    void framesReceived(List<Frame> frames);
 
     /** The connection broke before the answer was complete. */
-    void lost();
+    void connectionLost();
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleRun.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleRun.java
@@ -18,24 +18,24 @@
 
     private static final int FLUSH_BYTES = 64 * 1024;
     private static final int MAX_HELD_BYTES = 1024 * 1024;
-    private static final String READ_ONLY = "25006";
+    private static final String READ_ONLY_SQL_STATE = "25006";
     private static final Set<String> STATEFUL_TAGS =
             Set.of("SET", "RESET", "PREPARE", "LISTEN", "LOAD", "DECLARE CURSOR", "CREATE TABLE", "DO");
 
     private final HomeStream stream;
     private final EndpointConnection connection;
-    private final End end;
-    private Option<LogPosition> commit = Option.none();
-    private Option<String> error = Option.none();
+    private final Listener listener;
+    private Option<LogPosition> commitPosition = Option.none();
+    private Option<String> errorSqlState = Option.none();
     private boolean open;
-    private boolean completed;
-    private boolean held;
+    private boolean commandCompleted;
+    private boolean answerHeld;
     private boolean ended;
 
-    CycleRun(HomeStream stream, EndpointConnection connection, End end) {
+    CycleRun(HomeStream stream, EndpointConnection connection, Listener listener) {
         this.stream = stream;
         this.connection = connection;
-        this.end = end;
+        this.listener = listener;
         this.open = stream.cycle().open();
     }
 
@@ -48,43 +48,45 @@
     }
 
     /** Position of the write that the cycle committed. */
-    Option<LogPosition> commit() {
-        return commit;
+    Option<LogPosition> commitPosition() {
+        return commitPosition;
     }
 
     /** Tells whether the endpoint refused the whole cycle because it is not the primary. */
-    boolean refusedAsReplica() {
-        return error.contains(READ_ONLY) && !completed && !stream.facts().reader();
+    boolean isRefusedByReplica() {
+        return errorSqlState.contains(READ_ONLY_SQL_STATE)
+                && !commandCompleted
+                && !stream.routing().reader();
     }
 
     void start() {
         send(stream.cycle().frames());
     }
 
-    void more(byte[] frames, boolean stillOpen) {
+    void continueWith(byte[] frames, boolean stillOpen) {
         open = stillOpen;
         send(frames);
     }
 
     @Override
-    public void answered(List<Frame> frames) {
+    public void framesReceived(List<Frame> frames) {
         for (Frame frame : frames) {
             if (ended) {
                 connection.closed();
                 return;
             }
-            take(frame);
+            handleFrame(frame);
         }
         if (!ended) {
-            passOn();
+            forwardAnswer();
         }
     }
 
     @Override
-    public void lost() {
+    public void connectionLost() {
         if (!ended) {
             ended = true;
-            end.cycleLost(this, "the connection to the endpoint broke");
+            listener.cycleLost(this, "the connection to the endpoint broke");
         }
     }
 
@@ -95,30 +97,30 @@
                         .filter(f -> f.is('P'))
                         .map(f -> new BodyReader(f.body()).readString())
                         .filter(n -> !n.isEmpty())
-                        .forEach(connection::prepares));
+                        .forEach(connection::addPreparedStatement));
         connection.run(frames, this);
     }
 
-    private void take(Frame frame) {
+    private void handleFrame(Frame frame) {
         switch ((char) frame.type()) {
-            case 'S' -> parameter(frame);
-            case 'Z' -> ready(frame);
-            case 'C' -> commandComplete(frame);
+            case 'S' -> handleParameter(frame);
+            case 'Z' -> handleReady(frame);
+            case 'C' -> handleCommandComplete(frame);
             case 'E' -> {
-                error = BackendFrames.parseError(frame)
+                errorSqlState = BackendFrames.parseError(frame)
                         .map(BackendFrames.ErrorReport::sqlState)
                         .toOption();
                 stream.buffer(frame.encode());
             }
-            case 'G', 'W' -> connection.run(copyRefusal(), this);
+            case 'G', 'W' -> connection.run(copyFailFrame(), this);
             default -> stream.buffer(frame.encode());
         }
     }
 
-    private void parameter(Frame frame) {
+    private void handleParameter(Frame frame) {
         BackendFrames.parseParameterStatus(frame).forEach(p -> {
             if (p.name().equals(EndpointParameters.COMMIT)) {
-                commit = EndpointParameters.position(p.value());
+                commitPosition = EndpointParameters.position(p.value());
             }
             if (!p.name().startsWith(EndpointParameters.PREFIX)) {
                 stream.buffer(frame.encode());
@@ -126,34 +128,34 @@
         });
     }
 
-    private void commandComplete(Frame frame) {
+    private void handleCommandComplete(Frame frame) {
         String tag = new BodyReader(frame.body()).readString();
-        completed = true;
+        commandCompleted = true;
         // Before Sync, only an explicit COMMIT acknowledges anything.
-        held |= !open || tag.equals("COMMIT");
+        answerHeld |= !open || tag.equals("COMMIT");
         if (STATEFUL_TAGS.contains(tag)) {
-            connection.changed();
+            connection.markStateChanged();
         }
         stream.buffer(frame.encode());
     }
 
-    private void ready(Frame frame) {
+    private void handleReady(Frame frame) {
         ended = true;
-        connection.cycleEnded();
+        connection.endCycle();
         char status = BackendFrames.parseReady(frame).getOrElse('E');
-        end.cycleEnded(this, TransactionState.of(status));
+        listener.cycleEnded(this, TransactionState.of(status));
     }
 
-    private void passOn() {
-        if (held && stream.bufferedBytes() > MAX_HELD_BYTES) {
+    private void forwardAnswer() {
+        if (answerHeld && stream.bufferedBytes() > MAX_HELD_BYTES) {
             ended = true;
-            end.cycleLost(this, "the answer held for confirmation exceeds " + MAX_HELD_BYTES + " bytes");
-        } else if (!held && (open || stream.bufferedBytes() >= FLUSH_BYTES)) {
+            listener.cycleLost(this, "the answer held for confirmation exceeds " + MAX_HELD_BYTES + " bytes");
+        } else if (!answerHeld && (open || stream.bufferedBytes() >= FLUSH_BYTES)) {
             stream.flush();
         }
     }
 
-    private static byte[] copyRefusal() {
+    private static byte[] copyFailFrame() {
         return new BodyWriter()
                 .writeString("COPY from the caller is not supported")
                 .toFrame('f')
@@ -161,7 +163,7 @@
     }
 
     /** Takes the end of a cycle. */
-    interface End {
+    interface Listener {
 
         void cycleEnded(CycleRun run, TransactionState transaction);
 
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointConnection.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointConnection.java
@@ -25,17 +25,17 @@
     private final FrameNetwork network;
     private final ConnectionSpec spec;
     private final Owner owner;
-    private final Set<String> statements = new HashSet<>();
+    private final Set<String> preparedStatements = new HashSet<>();
     private Option<FrameChannel> channel = Option.none();
     private Option<CycleHandler> handler = Option.none();
     private Option<ClientAccountId> account = Option.none();
     private Option<LogPosition> applied = Option.none();
-    private String loginError = "";
-    private int process;
-    private int secret;
+    private String loginSqlState = "";
+    private int processId;
+    private int secretKey;
     private boolean ready;
-    private boolean dirty;
-    private boolean cancelled;
+    private boolean stateChanged;
+    private boolean cancelRequested;
     private boolean closed;
 
     EndpointConnection(FrameNetwork network, ConnectionSpec spec, Owner owner) {
@@ -56,7 +56,7 @@
         return spec.user();
     }
 
-    boolean usable() {
+    boolean isUsable() {
         return ready && !closed;
     }
 
@@ -70,53 +70,53 @@
         return account;
     }
 
-    void usedBy(ClientAccountId user) {
-        account = Option.some(user);
+    void setAccount(ClientAccountId newAccount) {
+        account = Option.some(newAccount);
     }
 
     /** Notes a statement that the cycle prepares, so that it is closed before another stream runs. */
-    void prepares(String statement) {
-        statements.add(statement);
+    void addPreparedStatement(String statement) {
+        preparedStatements.add(statement);
     }
 
     /** Notes that session state was changed. */
-    void changed() {
-        dirty = true;
+    void markStateChanged() {
+        stateChanged = true;
     }
 
-    boolean changedState() {
-        return dirty;
+    boolean hasStateChanged() {
+        return stateChanged;
     }
 
     Set<String> preparedStatements() {
-        return statements;
+        return preparedStatements;
     }
 
     /** Notes that the connection is as new. */
-    void wasReset() {
-        dirty = false;
+    void markReset() {
+        stateChanged = false;
         account = Option.none();
-        statements.clear();
+        preparedStatements.clear();
     }
 
     /** Tells whether a cancel request was sent, which may still hit whatever runs here. */
-    boolean wasCancelled() {
-        return cancelled;
+    boolean isCancelRequested() {
+        return cancelRequested;
     }
 
     /**
      * Sends a cycle or a part of one.
      *
      * @param frames frames, encoded
-     * @param target takes the answer
+     * @param newHandler takes the answer
      */
-    void run(byte[] frames, CycleHandler target) {
-        handler = Option.some(target);
+    void run(byte[] frames, CycleHandler newHandler) {
+        handler = Option.some(newHandler);
         channel.get().send(frames);
     }
 
     /** Ends the cycle: whatever arrives next without a new one closes the connection. */
-    void cycleEnded() {
+    void endCycle() {
         handler = Option.none();
     }
 
@@ -130,8 +130,8 @@
 
     /** Asks the endpoint to cancel what runs; the connection must be closed when its stream ends. */
     void cancel() {
-        cancelled = true;
-        byte[] request = FrontendFrames.cancelRequest(process, secret).encode();
+        cancelRequested = true;
+        byte[] request = FrontendFrames.cancelRequest(processId, secretKey).encode();
         network.connect(spec.endpoint().host(), spec.endpoint().port(), new CancelListener(), c -> c.send(request));
     }
 
@@ -150,10 +150,10 @@
             return;
         }
         if (ready) {
-            answered(frames);
+            deliver(frames);
             return;
         }
-        frames.forEach(this::loginFrame);
+        frames.forEach(this::handleLoginFrame);
     }
 
     @Override
@@ -172,15 +172,15 @@
         if (wasReady) {
             owner.lost(this);
         } else {
-            owner.openFailed(this, loginError);
+            owner.openFailed(this, loginSqlState);
         }
-        running.forEach(CycleHandler::lost);
+        running.forEach(CycleHandler::connectionLost);
     }
 
-    private void answered(List<Frame> frames) {
-        frames.forEach(this::noteParameter);
+    private void deliver(List<Frame> frames) {
+        frames.forEach(this::recordAppliedPosition);
         if (handler.isDefined()) {
-            handler.get().answered(frames);
+            handler.get().framesReceived(frames);
             return;
         }
         // An answer that nobody waits for is late or crossed; only notices and parameters come unasked.
@@ -202,16 +202,16 @@
                 .encode());
     }
 
-    private void loginFrame(Frame frame) {
+    private void handleLoginFrame(Frame frame) {
         if (closed || ready) {
             return;
         }
         switch ((char) frame.type()) {
             case 'R' -> authenticate(new BodyReader(frame.body()).readInt());
-            case 'S' -> noteParameter(frame);
-            case 'K' -> keyData(new BodyReader(frame.body()));
+            case 'S' -> recordAppliedPosition(frame);
+            case 'K' -> readKeyData(new BodyReader(frame.body()));
             case 'E' -> {
-                loginError = BackendFrames.parseError(frame)
+                loginSqlState = BackendFrames.parseError(frame)
                         .map(BackendFrames.ErrorReport::sqlState)
                         .getOrElse("");
                 closed();
@@ -234,12 +234,12 @@
         }
     }
 
-    private void keyData(BodyReader body) {
-        process = body.readInt();
-        secret = body.readInt();
+    private void readKeyData(BodyReader body) {
+        processId = body.readInt();
+        secretKey = body.readInt();
     }
 
-    private void noteParameter(Frame frame) {
+    private void recordAppliedPosition(Frame frame) {
         if (frame.is('S')) {
             BackendFrames.parseParameterStatus(frame)
                     .toOption()
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
@@ -24,22 +24,22 @@
 import org.hyssopswitch.proxy.home.HomeStream.Phase;
 
 /** Runs the streams of one endpoint within its slots and connections. */
-final class EndpointHome implements CycleRun.End {
+final class EndpointHome implements CycleRun.Listener {
 
-    private static final long CONFIRM_MILLIS = 5_000;
-    private static final int MAX_PARKED = 4;
-    private static final long IDLE_TRANSACTION_MILLIS = 60_000;
+    private static final long CONFIRM_TIMEOUT_MILLIS = 5_000;
+    private static final int MAX_AWAITING_CONNECTION = 4;
+    private static final long IDLE_TRANSACTION_TIMEOUT_MILLIS = 60_000;
 
     private final HomeContext context;
     private final DatabaseId database;
     private final EndpointDeclaration endpoint;
     private final StatementQueue<HomeStream> queue;
-    private final Confirmations confirmations;
-    private final BiConsumer<EndpointId, LogPosition> positions;
+    private final PendingConfirmations confirmations;
+    private final BiConsumer<EndpointId, LogPosition> positionListener;
     private final Map<StreamKey, HomeStream> streams = new HashMap<>();
     private final Map<StreamKey, CycleRun> runs = new HashMap<>();
     private final Queue<HomeStream> pinned = new ArrayDeque<>();
-    private final List<HomeStream> parked = new ArrayList<>();
+    private final List<HomeStream> awaitingConnection = new ArrayList<>();
     private final ConnectionPool pool;
     private Option<EndpointStatus> status = Option.none();
     private int slots = 1;
@@ -49,9 +49,9 @@
             HomeContext context,
             DatabaseId database,
             EndpointDeclaration endpoint,
-            Confirmations confirmations,
-            BiConsumer<EndpointId, LogPosition> positions) {
-        this.positions = positions;
+            PendingConfirmations confirmations,
+            BiConsumer<EndpointId, LogPosition> positionListener) {
+        this.positionListener = positionListener;
         this.context = context;
         this.database = database;
         this.endpoint = endpoint;
@@ -60,9 +60,9 @@
         this.pool = new ConnectionPool(
                 context.loop(),
                 context.random(),
-                this::connection,
+                this::createConnection,
                 context.users().reader(),
-                this::pump);
+                this::startPending);
     }
 
     /**
@@ -77,36 +77,36 @@
     }
 
     /** Takes a status that the endpoint reported. */
-    void reported(EndpointStatus reported) {
-        status = Option.some(reported);
+    void updateStatus(EndpointStatus newStatus) {
+        status = Option.some(newStatus);
     }
 
     EndpointDeclaration endpoint() {
         return endpoint;
     }
 
-    HomeStatus describe() {
+    HomeStatus homeStatus() {
         return new HomeStatus(endpoint.id(), status, streams.size(), queue.size(), pool.size());
     }
 
-    int streams() {
+    int streamCount() {
         return streams.size();
     }
 
     void execute(StreamKey key, ExecuteCycle cycle) {
-        long deadline = context.loop().nowMillis() + cycle.facts().remainingMillis();
+        long deadline = context.loop().nowMillis() + cycle.routing().remainingMillis();
         if (cycle.sequence() == 1 && !streams.containsKey(key)) {
-            open(new HomeStream(key, context.replies(), cycle, deadline));
+            enqueue(new HomeStream(key, context.replySender(), cycle, deadline));
         } else {
-            next(key, cycle, deadline);
+            queueNextCycle(key, cycle, deadline);
         }
-        pump();
+        startPending();
     }
 
-    void more(StreamKey key, ContinueCycle part) {
+    void continueCycle(StreamKey key, ContinueCycle part) {
         CycleRun run = runs.get(key);
         if (run != null && run.stream().cycle().sequence() == part.sequence()) {
-            run.more(part.frames(), part.open());
+            run.continueWith(part.frames(), part.open());
             return;
         }
         HomeStream stream = streams.get(key);
@@ -116,8 +116,8 @@
         }
     }
 
-    void granted(StreamKey key, int bytes) {
-        Option.of(streams.get(key)).forEach(s -> s.granted(bytes));
+    void grantCredit(StreamKey key, int bytes) {
+        Option.of(streams.get(key)).forEach(s -> s.grantCredit(bytes));
     }
 
     void cancel(StreamKey key, int sequence) {
@@ -138,23 +138,23 @@
         if (stream == null) {
             return;
         }
-        stream.enter(Phase.CLOSED);
+        stream.setPhase(Phase.CLOSED);
         if (runs.remove(key) != null) {
             running--;
         }
         stream.connection().forEach(pool::discard);
-        pump();
+        startPending();
     }
 
     /** Gives up the streams of an entry VM, which may have missed answers. */
-    void entryLost(VmAddress entry) {
+    void closeStreamsOf(VmAddress entry) {
         List<HomeStream> lost = streams.values().stream()
                 .filter(s -> s.key().entry().equals(entry))
                 .toList();
         for (HomeStream stream : lost) {
-            boolean waits = stream.phase() == Phase.QUEUED || stream.phase() == Phase.RESETTING;
+            boolean pending = stream.phase() == Phase.QUEUED || stream.phase() == Phase.RESETTING;
             if (stream.phase() != Phase.IDLE) {
-                stream.fail(waits ? AnswerState.NOT_RUN : AnswerState.UNKNOWN, 0, "the link to the entry VM broke");
+                stream.fail(pending ? AnswerState.NOT_RUN : AnswerState.UNKNOWN, 0, "the link to the entry VM broke");
             }
             close(stream.key());
         }
@@ -165,32 +165,32 @@
                 .forEach(s -> refuse(s, AnswerState.OVERLOADED, 1_000, "queue deadline"));
         closeIdleTransactions();
         pool.tick();
-        pump();
+        startPending();
     }
 
     /**
      * Ends what needs the primary, because the endpoint is no longer it: an answer that is still missing may never come
      * and could not be acknowledged, and what has not been sent is better run by the new primary.
      */
-    void replaced() {
+    void endPrimaryStreams() {
         streams.values().stream()
-                .filter(s -> !s.facts().reader() || s.facts().latest())
+                .filter(s -> !s.routing().reader() || s.routing().latest())
                 .toList()
-                .forEach(this::endReplaced);
-        pump();
+                .forEach(this::endPrimaryStream);
+        startPending();
     }
 
-    private void endReplaced(HomeStream stream) {
-        boolean waits = stream.phase() == Phase.QUEUED || stream.phase() == Phase.RESETTING;
-        if (waits || stream.phase() == Phase.RUNNING) {
-            boolean notRun = waits && stream.cycle().sequence() == 1;
+    private void endPrimaryStream(HomeStream stream) {
+        boolean pending = stream.phase() == Phase.QUEUED || stream.phase() == Phase.RESETTING;
+        if (pending || stream.phase() == Phase.RUNNING) {
+            boolean notRun = pending && stream.cycle().sequence() == 1;
             stream.fail(notRun ? AnswerState.NOT_RUN : AnswerState.UNKNOWN, 0, "the primary has been replaced");
             close(stream.key());
         }
     }
 
     /** Tells whether nothing is left to do after the VM stopped being home. */
-    boolean drained() {
+    boolean isDrained() {
         return streams.isEmpty();
     }
 
@@ -208,19 +208,19 @@
     @Override
     public void cycleEnded(CycleRun run, TransactionState transaction) {
         HomeStream stream = run.stream();
-        finished(run);
-        run.connection().applied().forEach(this::applied);
+        removeRun(run);
+        run.connection().applied().forEach(this::updateApplied);
         if (stream.phase() == Phase.CLOSED) {
             return;
         }
-        Option<LogPosition> position = run.commit()
-                .orElse(() -> stream.facts().latest() && transaction == TransactionState.IDLE
+        Option<LogPosition> position = run.commitPosition()
+                .orElse(() -> stream.routing().latest() && transaction == TransactionState.IDLE
                         ? run.connection().applied()
                         : Option.none());
         if (transaction == TransactionState.IDLE) {
             release(stream, run.connection());
         }
-        if (transaction == TransactionState.IDLE && stream.cycle().sequence() == 1 && run.refusedAsReplica()) {
+        if (transaction == TransactionState.IDLE && stream.cycle().sequence() == 1 && run.isRefusedByReplica()) {
             refuse(stream, AnswerState.NOT_RUN, 0, "the endpoint is not the primary");
         } else if (position.isEmpty()) {
             answer(stream, transaction, Confirmation.NONE);
@@ -228,86 +228,86 @@
             confirm(
                     stream,
                     transaction,
-                    new Confirmation(position.get(), run.commit().isDefined()));
+                    new Confirmation(position.get(), run.commitPosition().isDefined()));
         }
-        pump();
+        startPending();
     }
 
     @Override
     public void cycleLost(CycleRun run, String reason) {
-        finished(run);
+        removeRun(run);
         pool.discard(run.connection());
         if (run.stream().phase() != Phase.CLOSED) {
             refuse(run.stream(), AnswerState.UNKNOWN, 0, reason);
         }
-        pump();
+        startPending();
     }
 
     /** An entry VM that was cut off cannot say that its caller is gone. */
     private void closeIdleTransactions() {
-        long before = context.loop().nowMillis() - IDLE_TRANSACTION_MILLIS;
+        long before = context.loop().nowMillis() - IDLE_TRANSACTION_TIMEOUT_MILLIS;
         List<StreamKey> abandoned = streams.values().stream()
-                .filter(s -> s.idleBefore(before))
+                .filter(s -> s.isIdleSinceBefore(before))
                 .map(HomeStream::key)
                 .toList();
         abandoned.forEach(this::close);
     }
 
-    private EndpointConnection connection(EndpointUser user, EndpointConnection.Owner owner) {
+    private EndpointConnection createConnection(EndpointUser user, EndpointConnection.Owner owner) {
         ConnectionSpec spec = new ConnectionSpec(database, endpoint, user, context.application());
         return new EndpointConnection(context.network(), spec, owner);
     }
 
-    private void open(HomeStream stream) {
+    private void enqueue(HomeStream stream) {
         streams.put(stream.key(), stream);
         queue.offer(
-                        stream.facts().account(),
+                        stream.routing().account(),
                         stream,
                         stream.deadlineMillis(),
                         context.loop().nowMillis())
                 .forEach(r -> refuse(stream, AnswerState.OVERLOADED, r.retryAfterMillis(), r.describe()));
     }
 
-    private void next(StreamKey key, ExecuteCycle cycle, long deadline) {
+    private void queueNextCycle(StreamKey key, ExecuteCycle cycle, long deadline) {
         HomeStream stream = streams.get(key);
         if (stream == null || stream.phase() != Phase.IDLE || stream.cycle().sequence() + 1 != cycle.sequence()) {
             close(key);
-            new HomeStream(key, context.replies(), cycle, deadline)
+            new HomeStream(key, context.replySender(), cycle, deadline)
                     .fail(AnswerState.UNKNOWN, 0, "the transaction is not open at the home any more");
             return;
         }
-        stream.next(cycle, deadline);
+        stream.queueNextCycle(cycle, deadline);
         pinned.add(stream);
     }
 
-    private void pump() {
+    private void startPending() {
         while (running < slots && !pinned.isEmpty()) {
             HomeStream stream = pinned.remove();
             if (stream.phase() == Phase.QUEUED) {
                 run(stream, stream.connection().get());
             }
         }
-        startParked();
-        while (running < slots && parked.size() < MAX_PARKED) {
+        startAwaitingConnection();
+        while (running < slots && awaitingConnection.size() < MAX_AWAITING_CONNECTION) {
             Option<HomeStream> stream =
                     Option.ofOptional(queue.poll(context.loop().nowMillis()));
             if (stream.isEmpty()) {
                 return;
             }
             if (stream.get().phase() == Phase.QUEUED && !start(stream.get())) {
-                parked.add(stream.get());
+                awaitingConnection.add(stream.get());
             }
         }
     }
 
-    private void startParked() {
-        Iterator<HomeStream> waiting = parked.iterator();
+    private void startAwaitingConnection() {
+        Iterator<HomeStream> waiting = awaitingConnection.iterator();
         List<HomeStream> failed = new ArrayList<>();
         while (running < slots && waiting.hasNext()) {
             HomeStream stream = waiting.next();
             if (stream.phase() != Phase.QUEUED) {
                 waiting.remove();
-            } else if (unreachable()
+            } else if (isUnreachable()
                     || stream.deadlineMillis() <= context.loop().nowMillis()) {
                 waiting.remove();
                 failed.add(stream);
@@ -318,21 +318,21 @@
         failed.forEach(s -> refuse(s, AnswerState.NOT_RUN, 0, "no connection to the endpoint"));
     }
 
-    private boolean unreachable() {
+    private boolean isUnreachable() {
         return pool.size() == 0 && pool.failures() > 0;
     }
 
     /** Starts a stream if a connection is free. */
     private boolean start(HomeStream stream) {
-        if (!covered(stream.facts().floor())) {
+        if (!hasApplied(stream.routing().floor())) {
             refuse(stream, AnswerState.NOT_COVERED, 0, "the endpoint has not applied the session's floor");
             return true;
         }
-        EndpointUser user = stream.facts().reader()
+        EndpointUser user = stream.routing().reader()
                 ? context.users().reader()
                 : context.users().writer();
         Option<EndpointConnection> connection =
-                pool.acquire(user, stream.facts().account());
+                pool.acquire(user, stream.routing().account());
         if (connection.isEmpty()) {
             return false;
         }
@@ -340,65 +340,65 @@
         return true;
     }
 
-    private boolean covered(LogPosition floor) {
+    private boolean hasApplied(LogPosition floor) {
         return floor.equals(LogPosition.ZERO) || status.exists(s -> s.covers(floor));
     }
 
     /** Resets a connection that another account has used, then runs the stream's cycle on it. */
     private void prepare(HomeStream stream, EndpointConnection connection) {
-        boolean foreign =
-                connection.account().exists(a -> !a.equals(stream.facts().account()));
+        boolean usedByOther =
+                connection.account().exists(a -> !a.equals(stream.routing().account()));
         stream.bind(connection);
-        connection.usedBy(stream.facts().account());
-        if (!foreign) {
+        connection.setAccount(stream.routing().account());
+        if (!usedByOther) {
             run(stream, connection);
             return;
         }
         running++;
-        stream.enter(Phase.RESETTING);
-        new ConnectionReset(connection, done -> {
+        stream.setPhase(Phase.RESETTING);
+        new ConnectionReset(connection, successful -> {
                     running--;
-                    resetBefore(stream, connection, done);
+                    resetEnded(stream, connection, successful);
                 })
                 .discardAll();
     }
 
-    private void resetBefore(HomeStream stream, EndpointConnection connection, boolean done) {
+    private void resetEnded(HomeStream stream, EndpointConnection connection, boolean successful) {
         if (stream.phase() == Phase.CLOSED) {
-            pump();
+            startPending();
             return;
         }
-        if (done) {
-            connection.usedBy(stream.facts().account());
+        if (successful) {
+            connection.setAccount(stream.routing().account());
             run(stream, connection);
         } else {
             pool.discard(connection);
             refuse(stream, AnswerState.NOT_RUN, 0, "the endpoint connection could not be reset");
         }
-        pump();
+        startPending();
     }
 
     private void run(HomeStream stream, EndpointConnection connection) {
-        stream.enter(Phase.RUNNING);
+        stream.setPhase(Phase.RUNNING);
         running++;
         CycleRun run = new CycleRun(stream, connection, this);
         runs.put(stream.key(), run);
-        if (connection.usable()) {
+        if (connection.isUsable()) {
             run.start();
         } else {
-            run.lost();
+            run.connectionLost();
         }
     }
 
-    private void finished(CycleRun run) {
+    private void removeRun(CycleRun run) {
         if (runs.remove(run.stream().key(), run)) {
             running--;
         }
     }
 
     /** Takes a position that came with an answer; a new term needs a whole status. */
-    private void applied(LogPosition position) {
-        positions.accept(endpoint.id(), position);
+    private void updateApplied(LogPosition position) {
+        positionListener.accept(endpoint.id(), position);
         status = status.map(s -> s.applied().term() == position.term() && position.compareTo(s.applied()) > 0
                 ? new EndpointStatus(
                         s.endpoint(),
@@ -412,11 +412,17 @@
     }
 
     private void confirm(HomeStream stream, TransactionState transaction, Confirmation confirmation) {
-        stream.enter(Phase.CONFIRMING);
+        stream.setPhase(Phase.CONFIRMING);
         long now = context.loop().nowMillis();
-        long ticket = confirmations.open(confirmed -> confirmed(stream, transaction, confirmation, confirmed));
+        long ticket = confirmations.add(confirmed -> confirmed(stream, transaction, confirmation, confirmed));
         context.confirmer()
-                .confirm(ticket, endpoint.id(), confirmation.position(), now + CONFIRM_MILLIS, now, context.actions());
+                .confirm(
+                        ticket,
+                        endpoint.id(),
+                        confirmation.position(),
+                        now + CONFIRM_TIMEOUT_MILLIS,
+                        now,
+                        context.actions());
     }
 
     private void confirmed(
@@ -434,17 +440,17 @@
     private void answer(HomeStream stream, TransactionState transaction, Confirmation confirmation) {
         stream.complete(transaction, confirmation);
         if (transaction == TransactionState.IDLE) {
-            stream.enter(Phase.CLOSED);
+            stream.setPhase(Phase.CLOSED);
             streams.remove(stream.key());
         } else {
-            stream.enter(Phase.IDLE);
-            stream.idleSince(context.loop().nowMillis());
+            stream.setPhase(Phase.IDLE);
+            stream.setIdleSince(context.loop().nowMillis());
         }
     }
 
     private void refuse(HomeStream stream, AnswerState state, long retryAfterMillis, String reason) {
         stream.fail(state, retryAfterMillis, reason);
-        stream.enter(Phase.CLOSED);
+        stream.setPhase(Phase.CLOSED);
         streams.remove(stream.key());
         stream.connection().forEach(pool::discard);
         stream.unbind();
@@ -453,23 +459,23 @@
     /** Returns a connection to the pool once nothing of the stream is left on it. */
     private void release(HomeStream stream, EndpointConnection connection) {
         stream.unbind();
-        if (connection.wasCancelled()) {
+        if (connection.isCancelRequested()) {
             pool.discard(connection);
-        } else if (connection.changedState()) {
-            new ConnectionReset(connection, done -> released(connection, done)).discardAll();
+        } else if (connection.hasStateChanged()) {
+            new ConnectionReset(connection, successful -> releaseAfterReset(connection, successful)).discardAll();
         } else if (!connection.preparedStatements().isEmpty()) {
-            new ConnectionReset(connection, done -> released(connection, done)).closeStatements();
+            new ConnectionReset(connection, successful -> releaseAfterReset(connection, successful)).closeStatements();
         } else {
             pool.release(connection);
         }
     }
 
-    private void released(EndpointConnection connection, boolean done) {
-        if (done) {
+    private void releaseAfterReset(EndpointConnection connection, boolean successful) {
+        if (successful) {
             pool.release(connection);
         } else {
             pool.discard(connection);
-            pump();
+            startPending();
         }
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeContext.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeContext.java
@@ -19,7 +19,7 @@
  * @param queues creates the queue of an endpoint
  * @param confirmer confirms commits
  * @param actions performs the actions of the confirmer
- * @param replies sends messages to entry VMs
+ * @param replySender sends messages to entry VMs
  */
 record HomeContext(
         DecisionLoop loop,
@@ -30,4 +30,4 @@
         Supplier<StatementQueue<HomeStream>> queues,
         CommitConfirmer confirmer,
         Outbox actions,
-        Replies replies) {}
+        ReplySender replySender) {}
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
@@ -38,10 +38,10 @@
     private final HomeOptions options;
     private final HomeCollaborators collaborators;
     private final HomeContext context;
-    private final Confirmations confirmations = new Confirmations();
+    private final PendingConfirmations confirmations = new PendingConfirmations();
     private final Map<EndpointId, EndpointHome> homes = new HashMap<>();
-    private final Map<EndpointId, ControlLines> lines = new HashMap<>();
-    private List<OwnEndpoint> ownCell = List.of();
+    private final Map<EndpointId, ControlConnections> controlConnections = new HashMap<>();
+    private List<LocalEndpoint> localEndpoints = List.of();
 
     /**
      * Creates a service that is home to nothing.
@@ -72,20 +72,20 @@
      * @param next the configuration
      */
     public void configure(Configuration next) {
-        ownCell = next.databases().values().stream()
-                .flatMap(d -> d.endpoints().stream().map(e -> new OwnEndpoint(d, e)))
+        localEndpoints = next.databases().values().stream()
+                .flatMap(d -> d.endpoints().stream().map(e -> new LocalEndpoint(d, e)))
                 .filter(o -> o.endpoint().cell().equals(options.self().cell()))
                 .toList();
-        place();
+        applyPlacement();
     }
 
     /** Runs periodic work: placement, queue deadlines and connections. */
     public void tick() {
-        place();
+        applyPlacement();
         homes.values().forEach(EndpointHome::tick);
         homes.values().stream()
                 .filter(h -> collaborators.replaced().test(h.endpoint().id()))
-                .forEach(EndpointHome::replaced);
+                .forEach(EndpointHome::endPrimaryStreams);
     }
 
     /**
@@ -98,9 +98,9 @@
         if (message instanceof ExecuteCycle cycle) {
             execute(new StreamKey(from, cycle.stream()), cycle);
         } else if (message instanceof ContinueCycle part) {
-            homes.values().forEach(h -> h.more(new StreamKey(from, part.stream()), part));
+            homes.values().forEach(h -> h.continueCycle(new StreamKey(from, part.stream()), part));
         } else if (message instanceof GrantCredit credit) {
-            homes.values().forEach(h -> h.granted(new StreamKey(from, credit.stream()), credit.bytes()));
+            homes.values().forEach(h -> h.grantCredit(new StreamKey(from, credit.stream()), credit.bytes()));
         } else if (message instanceof CancelCycle cancel) {
             homes.values().forEach(h -> h.cancel(new StreamKey(from, cancel.stream()), cancel.sequence()));
         } else if (message instanceof CloseStream close) {
@@ -114,22 +114,22 @@
      * @param entry the entry VM
      */
     public void linkFailed(VmAddress entry) {
-        homes.values().forEach(h -> h.entryLost(entry));
+        homes.values().forEach(h -> h.closeStreamsOf(entry));
     }
 
     /**
      * Makes a control call.
      *
      * @param call the call
-     * @param target takes the answer
+     * @param callback takes the answer
      */
-    public void call(Action.CallEndpoint call, Consumer<Event> target) {
-        ControlLines line = lines.get(call.endpoint());
-        if (line == null) {
-            answer(call, Either.left(new ControlFailure.NotHome(call.endpoint())), target);
+    public void call(Action.CallEndpoint call, Consumer<Event> callback) {
+        ControlConnections connections = controlConnections.get(call.endpoint());
+        if (connections == null) {
+            answer(call, Either.left(new ControlFailure.NotHome(call.endpoint())), callback);
             return;
         }
-        line.call(call.request(), call.timeoutMillis(), result -> answer(call, result, target));
+        connections.call(call.request(), call.timeoutMillis(), result -> answer(call, result, callback));
     }
 
     /**
@@ -143,7 +143,7 @@
 
     /** The state of each endpoint that this VM is home to. */
     public List<HomeStatus> statuses() {
-        return homes.values().stream().map(EndpointHome::describe).toList();
+        return homes.values().stream().map(EndpointHome::homeStatus).toList();
     }
 
     /**
@@ -151,107 +151,108 @@
      *
      * @param endpoint the endpoint
      */
-    public int load(EndpointId endpoint) {
-        return Option.of(homes.get(endpoint)).map(EndpointHome::streams).getOrElse(0);
+    public int streamCount(EndpointId endpoint) {
+        return Option.of(homes.get(endpoint)).map(EndpointHome::streamCount).getOrElse(0);
     }
 
     /** Tells whether no stream is left. */
-    public boolean idle() {
-        return homes.values().stream().allMatch(EndpointHome::drained);
+    public boolean isIdle() {
+        return homes.values().stream().allMatch(EndpointHome::isDrained);
     }
 
     /** Closes all connections; open transactions are rolled back. */
     public void close() {
         homes.values().forEach(EndpointHome::shutdown);
-        lines.values().forEach(ControlLines::close);
+        controlConnections.values().forEach(ControlConnections::close);
         homes.clear();
-        lines.clear();
+        controlConnections.clear();
     }
 
     private void execute(StreamKey key, ExecuteCycle cycle) {
-        EndpointHome home = homes.get(cycle.facts().endpoint());
+        EndpointHome home = homes.get(cycle.routing().endpoint());
         if (home == null) {
             AnswerState state = cycle.sequence() == 1 ? AnswerState.NOT_RUN : AnswerState.UNKNOWN;
-            new HomeStream(key, context.replies(), cycle, 0).fail(state, 0, "the VM is not home to the endpoint");
+            new HomeStream(key, context.replySender(), cycle, 0).fail(state, 0, "the VM is not home to the endpoint");
             return;
         }
         home.execute(key, cycle);
     }
 
-    private void answer(Action.CallEndpoint call, Either<ControlFailure, ControlReply> result, Consumer<Event> target) {
-        result.forEach(r -> Option.of(homes.get(call.endpoint())).forEach(h -> h.reported(r.status())));
-        target.accept(new Event.EndpointAnswered(call.call(), call.endpoint(), result));
+    private void answer(
+            Action.CallEndpoint call, Either<ControlFailure, ControlReply> result, Consumer<Event> callback) {
+        result.forEach(r -> Option.of(homes.get(call.endpoint())).forEach(h -> h.updateStatus(r.status())));
+        callback.accept(new Event.EndpointAnswered(call.call(), call.endpoint(), result));
     }
 
     /** Opens the homes that the placement assigns to this VM and drains the others. */
-    private void place() {
-        Map<EndpointId, EndpointDeclaration> mine = new HashMap<>();
-        ownCell.forEach(o -> place(o.database(), o.endpoint(), mine));
+    private void applyPlacement() {
+        Map<EndpointId, EndpointDeclaration> assigned = new HashMap<>();
+        localEndpoints.forEach(o -> placeEndpoint(o.database(), o.endpoint(), assigned));
         for (EndpointHome home : new ArrayList<>(homes.values())) {
-            if (!home.endpoint().equals(mine.get(home.endpoint().id()))) {
-                leave(home);
+            if (!home.endpoint().equals(assigned.get(home.endpoint().id()))) {
+                closeWhenDrained(home);
             }
         }
     }
 
-    private void place(
-            DatabaseDeclaration database, EndpointDeclaration endpoint, Map<EndpointId, EndpointDeclaration> mine) {
+    private void placeEndpoint(
+            DatabaseDeclaration database, EndpointDeclaration endpoint, Map<EndpointId, EndpointDeclaration> assigned) {
         int rank = collaborators.resolver().homes(endpoint).indexOf(options.self());
         if (rank < 0) {
             return;
         }
-        mine.put(endpoint.id(), endpoint);
+        assigned.put(endpoint.id(), endpoint);
         EndpointHome home = homes.get(endpoint.id());
         if (home == null) {
-            home = new EndpointHome(context, database.id(), endpoint, confirmations, this::applied);
+            home = new EndpointHome(context, database.id(), endpoint, confirmations, this::reportPosition);
             homes.put(endpoint.id(), home);
-            lines.put(endpoint.id(), new ControlLines(context, database.id(), endpoint));
+            controlConnections.put(endpoint.id(), new ControlConnections(context, database.id(), endpoint));
             LOG.info("event=home_opened endpoint={} rank={}", endpoint.id(), rank);
         }
-        home.resize(database.slots(), ConnectionShare.of(database.connections(), rank));
+        home.resize(database.slots(), ConnectionShare.statementConnections(database.connections(), rank));
     }
 
-    private void applied(EndpointId endpoint, LogPosition position) {
+    private void reportPosition(EndpointId endpoint, LogPosition position) {
         collaborators.positions().accept(endpoint, position);
     }
 
     /** Closes a home once its streams have ended; its idle connections go at once to make room for the successor. */
-    private void leave(EndpointHome home) {
+    private void closeWhenDrained(EndpointHome home) {
         home.resize(1, 0);
-        if (home.drained()) {
+        if (home.isDrained()) {
             EndpointId endpoint = home.endpoint().id();
             home.shutdown();
             homes.remove(endpoint);
-            Option.of(lines.remove(endpoint)).forEach(ControlLines::close);
+            Option.of(controlConnections.remove(endpoint)).forEach(ControlConnections::close);
             LOG.info("event=home_closed endpoint={}", endpoint);
         }
     }
 
     /** An endpoint of this VM's cell; kept so that periodic work does not pass over all declared databases. */
-    private record OwnEndpoint(DatabaseDeclaration database, EndpointDeclaration endpoint) {}
+    private record LocalEndpoint(DatabaseDeclaration database, EndpointDeclaration endpoint) {}
 
     /** The two control connections of an endpoint; waits have their own, so that they do not delay other calls. */
-    private static final class ControlLines {
+    private static final class ControlConnections {
 
-        private final ControlConnection orders;
+        private final ControlConnection commands;
         private final ControlConnection waits;
 
-        ControlLines(HomeContext context, DatabaseId database, EndpointDeclaration e) {
+        ControlConnections(HomeContext context, DatabaseId database, EndpointDeclaration e) {
             ConnectionSpec spec =
                     new ConnectionSpec(database, e, context.users().writer(), context.application());
-            orders = new ControlConnection(
+            commands = new ControlConnection(
                     context.loop(), e.id(), owner -> new EndpointConnection(context.network(), spec, owner));
             waits = new ControlConnection(
                     context.loop(), e.id(), owner -> new EndpointConnection(context.network(), spec, owner));
         }
 
-        void call(ControlRequest request, long timeout, Consumer<Either<ControlFailure, ControlReply>> target) {
-            ControlConnection line = request instanceof ControlRequest.AwaitPosition ? waits : orders;
-            line.call(request, timeout, target);
+        void call(ControlRequest request, long timeoutMillis, Consumer<Either<ControlFailure, ControlReply>> callback) {
+            ControlConnection connection = request instanceof ControlRequest.AwaitPosition ? waits : commands;
+            connection.call(request, timeoutMillis, callback);
         }
 
         void close() {
-            orders.close();
+            commands.close();
             waits.close();
         }
     }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeStream.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeStream.java
@@ -8,28 +8,28 @@
 import org.hyssopswitch.proxy.forward.AnswerState;
 import org.hyssopswitch.proxy.forward.Confirmation;
 import org.hyssopswitch.proxy.forward.ContinueCycle;
-import org.hyssopswitch.proxy.forward.CycleFacts;
+import org.hyssopswitch.proxy.forward.CycleRouting;
 import org.hyssopswitch.proxy.forward.ExecuteCycle;
 import org.hyssopswitch.proxy.forward.TransactionState;
 
 /** A stream of cycles of one caller, from its first cycle until no transaction is open. */
 final class HomeStream {
 
-    private static final int CREDIT_BYTES = 256 * 1024;
+    private static final int CREDIT_WINDOW_BYTES = 256 * 1024;
 
     private final StreamKey key;
-    private final Replies replies;
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+    private final ReplySender replySender;
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
     private ExecuteCycle cycle;
     private long deadlineMillis;
     private Phase phase = Phase.QUEUED;
     private Option<EndpointConnection> connection = Option.none();
     private long outstandingBytes;
-    private long idleMillis;
+    private long idleSinceMillis;
 
-    HomeStream(StreamKey key, Replies replies, ExecuteCycle first, long deadlineMillis) {
+    HomeStream(StreamKey key, ReplySender replySender, ExecuteCycle first, long deadlineMillis) {
         this.key = key;
-        this.replies = replies;
+        this.replySender = replySender;
         this.cycle = first;
         this.deadlineMillis = deadlineMillis;
     }
@@ -42,8 +42,8 @@
         return cycle;
     }
 
-    CycleFacts facts() {
-        return cycle.facts();
+    CycleRouting routing() {
+        return cycle.routing();
     }
 
     long deadlineMillis() {
@@ -54,17 +54,17 @@
         return phase;
     }
 
-    void enter(Phase next) {
+    void setPhase(Phase next) {
         phase = next;
     }
 
     /** Notes when the transaction became idle. */
-    void idleSince(long nowMillis) {
-        idleMillis = nowMillis;
+    void setIdleSince(long nowMillis) {
+        idleSinceMillis = nowMillis;
     }
 
-    boolean idleBefore(long millis) {
-        return phase == Phase.IDLE && idleMillis < millis;
+    boolean isIdleSinceBefore(long millis) {
+        return phase == Phase.IDLE && idleSinceMillis < millis;
     }
 
     Option<EndpointConnection> connection() {
@@ -79,8 +79,8 @@
         connection = Option.none();
     }
 
-    void next(ExecuteCycle message, long deadline) {
-        cycle = message;
+    void queueNextCycle(ExecuteCycle nextCycle, long deadline) {
+        cycle = nextCycle;
         deadlineMillis = deadline;
         phase = Phase.QUEUED;
     }
@@ -89,34 +89,35 @@
     void append(ContinueCycle part) {
         byte[] frames = Arrays.copyOf(cycle.frames(), cycle.frames().length + part.frames().length);
         System.arraycopy(part.frames(), 0, frames, cycle.frames().length, part.frames().length);
-        cycle = new ExecuteCycle(cycle.stream(), cycle.epoch(), cycle.sequence(), cycle.facts(), part.open(), frames);
+        cycle = new ExecuteCycle(cycle.stream(), cycle.epoch(), cycle.sequence(), cycle.routing(), part.open(), frames);
     }
 
     void buffer(byte[] frame) {
-        out.writeBytes(frame);
+        buffered.writeBytes(frame);
     }
 
     int bufferedBytes() {
-        return out.size();
+        return buffered.size();
     }
 
     /** Sends what is buffered. */
     void flush() {
-        if (out.size() == 0) {
+        if (buffered.size() == 0) {
             return;
         }
-        outstandingBytes += out.size();
-        replies.send(key.entry(), new AnswerData(key.stream(), cycle.epoch(), cycle.sequence(), out.toByteArray()));
-        out.reset();
-        if (!mayRead()) {
+        outstandingBytes += buffered.size();
+        replySender.send(
+                key.entry(), new AnswerData(key.stream(), cycle.epoch(), cycle.sequence(), buffered.toByteArray()));
+        buffered.reset();
+        if (!hasCredit()) {
             connection.forEach(EndpointConnection::pause);
         }
     }
 
-    void granted(int bytes) {
-        boolean paused = !mayRead();
+    void grantCredit(int bytes) {
+        boolean paused = !hasCredit();
         outstandingBytes -= bytes;
-        if (paused && mayRead()) {
+        if (paused && hasCredit()) {
             connection.forEach(EndpointConnection::resume);
         }
     }
@@ -128,17 +129,21 @@
 
     /** Answers the cycle with a failure; what is buffered is dropped. */
     void fail(AnswerState state, long retryAfterMillis, String reason) {
-        out.reset();
+        buffered.reset();
         end(state, TransactionState.IDLE, Confirmation.NONE, retryAfterMillis, reason);
     }
 
-    private boolean mayRead() {
-        return outstandingBytes < CREDIT_BYTES;
+    private boolean hasCredit() {
+        return outstandingBytes < CREDIT_WINDOW_BYTES;
     }
 
     private void end(
-            AnswerState state, TransactionState transaction, Confirmation confirmed, long retryAfter, String reason) {
-        replies.send(
+            AnswerState state,
+            TransactionState transaction,
+            Confirmation confirmed,
+            long retryAfterMillis,
+            String reason) {
+        replySender.send(
                 key.entry(),
                 new AnswerEnd(
                         key.stream(),
@@ -147,10 +152,10 @@
                         state,
                         transaction,
                         confirmed,
-                        retryAfter,
+                        retryAfterMillis,
                         reason,
-                        out.toByteArray()));
-        out.reset();
+                        buffered.toByteArray()));
+        buffered.reset();
     }
 
     /** What a stream is doing. */
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/Confirmations.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/PendingConfirmations.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 
 /** The answers that wait for a confirmation, by ticket. */
-final class Confirmations {
+final class PendingConfirmations {
 
     private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
     private long lastTicket;
 
-    long open(Consumer<Boolean> target) {
-        waiting.put(++lastTicket, target);
+    long add(Consumer<Boolean> callback) {
+        waiting.put(++lastTicket, callback);
         return lastTicket;
     }
 
     void resolve(long ticket, boolean confirmed) {
-        Option.of(waiting.remove(ticket)).forEach(t -> t.accept(confirmed));
+        Option.of(waiting.remove(ticket)).forEach(c -> c.accept(confirmed));
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/Replies.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ReplySender.java
@@ -5,7 +5,7 @@
 
 /** Sends messages to entry VMs. */
 @FunctionalInterface
-interface Replies {
+interface ReplySender {
 
     /**
      * Sends a message.
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/VmRuntime.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/VmRuntime.java
@@ -245,7 +245,7 @@
     }
 
     private static int load(HomeService service, EndpointId endpoint) {
-        return service == null ? 0 : service.load(endpoint);
+        return service == null ? 0 : service.streamCount(endpoint);
     }
 
     private void tick() {
@@ -281,7 +281,7 @@
     private void awaitDrained(long notBefore, long deadline, CompletableFuture<Boolean> done) {
         long now = loop.nowMillis();
         boolean idle =
-                entry.connections() == 0 && home.idle() && core.departure().done();
+                entry.connections() == 0 && home.isIdle() && core.departure().done();
         if ((idle && now >= notBefore) || now >= deadline) {
             LOG.info("event=vm_drained vm={} complete={}", self().vm(), idle);
             // The loop cannot wait for its own end.
