--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/AnswerData.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/AnswerData.java
@@ -3,11 +3,11 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * A part of an answer.
+ * Carries part of a cycle's answer to the entry VM.
  *
- * @param stream the stream
+ * @param stream number of the stream, given by the entry VM
  * @param epoch incarnation of the entry VM
- * @param sequence number of the cycle
- * @param frames whole frames, encoded
+ * @param sequence number of the cycle in its stream
+ * @param frames encoded frames, each of them whole
  */
 public record AnswerData(long stream, long epoch, int sequence, byte[] frames) implements PeerMessage {}
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/AnswerEnd.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/AnswerEnd.java
@@ -3,17 +3,17 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * The end of an answer.
+ * Ends the answer to a cycle.
  *
- * @param stream the stream
+ * @param stream number of the stream, given by the entry VM
  * @param epoch incarnation of the entry VM
- * @param sequence number of the cycle
+ * @param sequence number of the cycle in its stream
  * @param state how the cycle ended
- * @param transaction transaction status of the endpoint connection; the stream stays open unless it is idle
- * @param confirmed what a majority confirmed
- * @param retryAfterMillis milliseconds after which a repeat is worth while; 0 for no advice
- * @param reason why the cycle failed; empty when it is complete
- * @param frames the last frames without ReadyForQuery, encoded
+ * @param transaction transaction status of the endpoint connection; the stream stays open unless the status is IDLE
+ * @param confirmed position that a majority of the group confirmed
+ * @param retryAfterMillis milliseconds after which a retry may succeed; 0 for no advice
+ * @param reason why the cycle failed; empty if it is complete
+ * @param frames the last frames of the answer without ReadyForQuery, encoded
  */
 public record AnswerEnd(
         long stream,
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/AnswerState.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/AnswerState.java
@@ -6,12 +6,14 @@
     COMPLETE,
     /** The endpoint has not applied the session's floor; nothing ran. */
     NOT_COVERED,
-    /** No byte reached the endpoint, or it refused before running anything; another endpoint may be tried. */
+    /**
+     * No byte reached the endpoint, or it refused the cycle before running any of it; another endpoint may be tried.
+     */
     NOT_RUN,
-    /** The queue is full or the deadline passed in it; nothing ran. */
+    /** The queue is full, or the statement's deadline passed while it was queued; nothing ran. */
     OVERLOADED,
     /** The caller cancelled the cycle before anything ran. */
     CANCELLED,
-    /** The cycle may have run. */
+    /** The outcome is unknown: the cycle may have run. */
     UNKNOWN
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/Confirmation.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/Confirmation.java
@@ -3,17 +3,17 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * What a majority of the group confirmed of a cycle.
+ * The log position that a majority of the group confirmed for a cycle.
  *
- * @param position the position; zero when nothing was confirmed
- * @param write whether the position is that of a write of the cycle
+ * @param position the position; zero if none was confirmed
+ * @param write whether it is the position of a write that the cycle committed
  */
 public record Confirmation(LogPosition position, boolean write) {
 
-    /** Nothing was confirmed. */
+    /** No position was confirmed. */
     public static final Confirmation NONE = new Confirmation(LogPosition.ZERO, false);
 
-    /** Tells whether a position was confirmed. */
+    /** Whether a position was confirmed. */
     public boolean isPresent() {
         return !position.equals(LogPosition.ZERO);
     }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/ContinueCycle.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/ContinueCycle.java
@@ -3,11 +3,11 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Further frames of an open cycle.
+ * Carries further frames of a cycle whose previous message had {@code open} set.
  *
- * @param stream the stream
+ * @param stream number of the stream, given by the entry VM
  * @param epoch incarnation of the entry VM
- * @param sequence number of the cycle
+ * @param sequence number of the cycle in its stream
  * @param open whether more frames follow
  * @param frames the frames, encoded
  */
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/CycleRouting.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/CycleRouting.java
@@ -6,14 +6,14 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * What routing decided about a cycle.
+ * The routing decision for a cycle.
  *
- * @param account the client account that pays
+ * @param account client account to which the cycle is charged
  * @param database the database
  * @param endpoint the endpoint
- * @param reader whether to run as the user whose writes the endpoint refuses
+ * @param reader whether to run as the read-only user, whose writes the endpoint refuses
  * @param latest whether the answer must be confirmed as the latest by a majority of the group
- * @param floor position that the endpoint must have applied
+ * @param floor lowest log position that the endpoint must have applied
  * @param remainingMillis milliseconds left until the statement's deadline
  */
 public record CycleRouting(
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/ForwardMessages.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/ForwardMessages.java
@@ -2,7 +2,7 @@
 
 import org.hyssopswitch.peer.MessageRegistry;
 
-/** The numbers of the forwarding messages. */
+/** Registers the messages between entry VMs and homes under their numbers. */
 public final class ForwardMessages {
 
     private ForwardMessages() {}
@@ -10,7 +10,7 @@
     /**
      * Adds the messages to a registry.
      *
-     * @param builder collects messages
+     * @param builder registry under construction
      */
     public static void register(MessageRegistry.Builder builder) {
         builder.register(100, ExecuteCycle.class)
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/GrantCredit.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/GrantCredit.java
@@ -3,9 +3,9 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Tells the home that bytes of an answer have been passed to the caller, so that it may send more.
+ * Flow control: reports that bytes of an answer have been passed to the caller, so that the home may send more.
  *
- * @param stream the stream
+ * @param stream number of the stream, given by the entry VM
  * @param epoch incarnation of the entry VM
  * @param bytes the number of bytes
  */
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/TransactionState.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/forward/TransactionState.java
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Reads the character on the wire.
+     * Returns the status for the character on the wire.
      *
-     * @param code the character; any unknown one counts as a failed transaction
+     * @param code the character; an unknown one counts as a failed transaction
      */
     public static TransactionState of(char code) {
         return switch (code) {
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionPool.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionPool.java
@@ -14,7 +14,7 @@
 import org.hyssopswitch.core.identity.ClientAccountId;
 import org.hyssopswitch.proxy.net.DecisionLoop;
 
-/** The statement connections of one endpoint, within this VM's share of the endpoint's cap. */
+/** Connection pool for the statements of one endpoint, limited to this VM's share of the endpoint's connections. */
 final class ConnectionPool implements EndpointConnection.Owner {
 
     private static final Logger LOG = LogManager.getLogger(ConnectionPool.class);
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Sets the bounds.
+     * Sets the size of the pool. Connections above the limit are closed when they are released.
      *
-     * @param newLimit greatest number of connections
-     * @param newWarm connections to hold ready ahead of demand
+     * @param newLimit maximum number of connections
+     * @param newWarm number of connections to keep open ahead of demand
      */
     void resize(int newLimit, int newWarm) {
         limit = newLimit;
@@ -58,16 +58,18 @@
         return connections.size();
     }
 
-    /** Consecutive failures to open a connection. */
+    /** Returns the number of consecutive failures to open a connection. */
     int failures() {
         return failures;
     }
 
     /**
-     * Takes an idle connection, one that the account used last if there is one; otherwise starts to open one.
+     * Takes an idle connection of the user, preferably one that the account used last, since it needs no reset. If
+     * there is none, returns nothing and starts to open one, unless the limit, the backoff or the number of connections
+     * that are being opened forbids it.
      *
-     * @param user the user to run as
-     * @param account the account that will use it
+     * @param user the user to connect as
+     * @param account the account that will use the connection
      */
     Option<EndpointConnection> acquire(EndpointUser user, ClientAccountId account) {
         lastUsed = user;
@@ -95,7 +97,7 @@
         remove(connection);
     }
 
-    /** Opens connections ahead of demand and closes those unused for long. */
+    /** Opens connections ahead of demand and closes those whose idle timeout has expired. */
     void tick() {
         long now = loop.nowMillis();
         List<EndpointConnection> unused = idle.entrySet().stream()
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionReset.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionReset.java
@@ -7,7 +7,7 @@
 import org.hyssopswitch.wire.Frame;
 import org.hyssopswitch.wire.FrontendFrames;
 
-/** Removes what a stream left on a connection, before the next one uses it. */
+/** Resets the session state that a stream left on a connection before another stream uses it. */
 final class ConnectionReset implements CycleHandler {
 
     private final EndpointConnection connection;
@@ -19,8 +19,8 @@
     /**
      * Creates a reset.
      *
-     * @param connection the connection, which runs nothing
-     * @param callback takes whether the connection may be used again
+     * @param connection the connection; no cycle may be running on it
+     * @param callback receives whether the connection may be reused
      */
     ConnectionReset(EndpointConnection connection, Consumer<Boolean> callback) {
         this.connection = connection;
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionShare.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionShare.java
@@ -9,9 +9,9 @@
     private ConnectionShare() {}
 
     /**
-     * Statement connections of a home.
+     * Returns the number of statement connections that a home may open.
      *
-     * @param cap connections that the endpoint accepts
+     * @param cap number of connections that the endpoint accepts
      * @param rank 0 for the home, 1 for the standby
      */
     static int statementConnections(int cap, int rank) {
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlCodec.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlCodec.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.wire.BodyReader;
 import org.hyssopswitch.wire.Frame;
 
-/** Writes control calls as SQL and reads their rows. */
+/** Encodes control calls as SQL and decodes the rows that they return. */
 final class ControlCodec {
 
     private static final int MIN_COLUMNS = 9;
@@ -57,7 +57,7 @@
         BodyReader body = new BodyReader(row.body());
         int count = body.readShort();
         if (count < MIN_COLUMNS) {
-            throw new IllegalArgumentException("a control row must have 9 columns, but has " + count);
+            throw new IllegalArgumentException("a control row must have at least 9 columns, but has " + count);
         }
         List<String> values = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlConnection.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlConnection.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.wire.Frame;
 import org.hyssopswitch.wire.FrontendFrames;
 
-/** A connection for control calls, which run one after the other; opened when a call needs it. */
+/** A connection for control calls, which run one at a time in the order of the calls. It is opened on demand. */
 final class ControlConnection implements EndpointConnection.Owner, CycleHandler {
 
     private final DecisionLoop loop;
@@ -35,11 +35,11 @@
     }
 
     /**
-     * Makes a call.
+     * Queues a call.
      *
      * @param request the request
-     * @param timeoutMillis milliseconds after which it fails
-     * @param callback takes the answer
+     * @param timeoutMillis milliseconds after which the call fails, including its time in the queue
+     * @param callback receives the reply or the failure
      */
     void call(ControlRequest request, long timeoutMillis, Consumer<Either<ControlFailure, ControlReply>> callback) {
         Call call = new Call(request, timeoutMillis, callback);
@@ -83,7 +83,7 @@
 
     @Override
     public void connectionLost() {
-        // The owner's lost() has failed the call.
+        // lost(EndpointConnection), which runs first, has already failed the call.
     }
 
     private void handleFrame(Frame frame) {
@@ -121,7 +121,10 @@
                 .run(FrontendFrames.query(ControlCodec.toSql(call.request)).encode(), this);
     }
 
-    /** A call that is running blocks the connection, so the connection goes with it. */
+    /**
+     * Fails a call that timed out. A running call blocks the connection, which is therefore closed as well; so is a
+     * connection that is still being opened.
+     */
     private void timedOut(Call call) {
         if (calls.remove(call)) {
             call.complete(Either.left(new ControlFailure.TimedOut(endpoint, call.timeoutMillis)));
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlFailure.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlFailure.java
@@ -7,7 +7,7 @@
 public sealed interface ControlFailure extends Failure {
 
     /**
-     * This VM is not home to the endpoint.
+     * This VM is not a home of the endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -19,10 +19,10 @@
     }
 
     /**
-     * No answer came in time; the call may have taken effect.
+     * The call timed out; it may have taken effect.
      *
      * @param endpoint the endpoint
-     * @param timeoutMillis milliseconds waited
+     * @param timeoutMillis the timeout in milliseconds
      */
     record TimedOut(EndpointId endpoint, long timeoutMillis) implements ControlFailure {
         @Override
@@ -32,14 +32,14 @@
     }
 
     /**
-     * The connection broke or could not be opened; the call may have taken effect.
+     * The connection was lost or could not be opened; the call may have taken effect.
      *
      * @param endpoint the endpoint
      */
     record ConnectionLost(EndpointId endpoint) implements ControlFailure {
         @Override
         public String describe() {
-            return "the control connection to endpoint " + endpoint + " broke";
+            return "the control connection to endpoint " + endpoint + " was lost or could not be opened";
         }
     }
 
@@ -47,7 +47,7 @@
      * The endpoint refused the call.
      *
      * @param endpoint the endpoint
-     * @param sqlState five characters; empty when missing
+     * @param sqlState the five-character SQLSTATE; empty if the error has none
      */
     record CallRefused(EndpointId endpoint, String sqlState) implements ControlFailure {
         @Override
@@ -57,15 +57,15 @@
     }
 
     /**
-     * The answer does not have the columns of the contract.
+     * The reply has no row, or one that does not match the columns of the control functions.
      *
      * @param endpoint the endpoint
-     * @param detail what is wrong
+     * @param detail description of the mismatch
      */
     record BadReply(EndpointId endpoint, String detail) implements ControlFailure {
         @Override
         public String describe() {
-            return "endpoint " + endpoint + " sent an answer that cannot be read: " + detail;
+            return "endpoint " + endpoint + " sent a malformed reply: " + detail;
         }
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleHandler.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleHandler.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import org.hyssopswitch.wire.Frame;
 
-/** Takes the answer to the cycle that an endpoint connection runs. */
+/** Receives the answer to the cycle that an endpoint connection runs. */
 interface CycleHandler {
 
     /**
-     * Frames arrived.
+     * Receives frames of the answer.
      *
      * @param frames the frames, in order
      */
     void framesReceived(List<Frame> frames);
 
-    /** The connection broke before the answer was complete. */
+    /** Called when the connection is lost before the answer is complete. */
     void connectionLost();
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleRun.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/CycleRun.java
@@ -13,7 +13,10 @@
 import org.hyssopswitch.wire.Frame;
 import org.hyssopswitch.wire.FrameDecoder;
 
-/** One cycle while it runs at an endpoint: passes its answer on and holds back what acknowledges a commit. */
+/**
+ * One cycle while it runs at an endpoint. Forwards the answer as it arrives; from the first frame that may acknowledge
+ * a commit, the answer stays buffered until the home has that commit confirmed.
+ */
 final class CycleRun implements CycleHandler {
 
     private static final int FLUSH_BYTES = 64 * 1024;
@@ -47,12 +50,12 @@
         return connection;
     }
 
-    /** Position of the write that the cycle committed. */
+    /** Returns the log position of the write that the cycle committed. */
     Option<LogPosition> commitPosition() {
         return commitPosition;
     }
 
-    /** Tells whether the endpoint refused the whole cycle because it is not the primary. */
+    /** Whether the endpoint refused the whole cycle because it is not the primary. */
     boolean isRefusedByReplica() {
         return errorSqlState.contains(READ_ONLY_SQL_STATE)
                 && !commandCompleted
@@ -162,7 +165,7 @@
                 .encode();
     }
 
-    /** Takes the end of a cycle. */
+    /** Receives the end of a cycle. */
     interface Listener {
 
         void cycleEnded(CycleRun run, TransactionState transaction);
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointConnection.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointConnection.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.wire.FrontendFrames;
 import org.hyssopswitch.wire.WireFailure;
 
-/** One connection to an endpoint, from its login to its end. Runs one cycle at a time. */
+/** A connection to an endpoint, including its login. It runs one cycle at a time. */
 final class EndpointConnection implements FrameListener {
 
     private static final int AUTHENTICATION_OK = 0;
@@ -60,12 +60,12 @@
         return ready && !closed;
     }
 
-    /** The position that the endpoint reported last on this connection. */
+    /** Returns the last log position that the endpoint reported on this connection. */
     Option<LogPosition> applied() {
         return applied;
     }
 
-    /** The account that used the connection last; nothing for a fresh or reset one. */
+    /** Returns the account that last used the connection; empty for a new or reset connection. */
     Option<ClientAccountId> account() {
         return account;
     }
@@ -74,12 +74,12 @@
         account = Option.some(newAccount);
     }
 
-    /** Notes a statement that the cycle prepares, so that it is closed before another stream runs. */
+    /** Records a statement that the cycle prepares, so that it is closed before another stream uses the connection. */
     void addPreparedStatement(String statement) {
         preparedStatements.add(statement);
     }
 
-    /** Notes that session state was changed. */
+    /** Records that a cycle changed session state, so that the connection is reset before another stream uses it. */
     void markStateChanged() {
         stateChanged = true;
     }
@@ -92,30 +92,32 @@
         return preparedStatements;
     }
 
-    /** Notes that the connection is as new. */
+    /** Records that the session state was reset. */
     void markReset() {
         stateChanged = false;
         account = Option.none();
         preparedStatements.clear();
     }
 
-    /** Tells whether a cancel request was sent, which may still hit whatever runs here. */
+    /** Whether a cancel request was sent; it may still cancel a later cycle on this connection. */
     boolean isCancelRequested() {
         return cancelRequested;
     }
 
     /**
-     * Sends a cycle or a part of one.
+     * Sends all or part of a cycle.
      *
-     * @param frames frames, encoded
-     * @param newHandler takes the answer
+     * @param frames the encoded frames
+     * @param newHandler receives the answer
      */
     void run(byte[] frames, CycleHandler newHandler) {
         handler = Option.some(newHandler);
         channel.get().send(frames);
     }
 
-    /** Ends the cycle: whatever arrives next without a new one closes the connection. */
+    /**
+     * Ends the cycle. Until the next one starts, any frame other than a notice or a parameter closes the connection.
+     */
     void endCycle() {
         handler = Option.none();
     }
@@ -128,7 +130,10 @@
         channel.forEach(FrameChannel::resume);
     }
 
-    /** Asks the endpoint to cancel what runs; the connection must be closed when its stream ends. */
+    /**
+     * Requests the endpoint to cancel the running cycle. The connection must not be reused by another stream, because
+     * the request may arrive late.
+     */
     void cancel() {
         cancelRequested = true;
         byte[] request = FrontendFrames.cancelRequest(processId, secretKey).encode();
@@ -183,7 +188,7 @@
             handler.get().framesReceived(frames);
             return;
         }
-        // An answer that nobody waits for is late or crossed; only notices and parameters come unasked.
+        // An answer outside a cycle is late or belongs to another; only notices and parameters may come unsolicited.
         if (!frames.stream().allMatch(f -> f.is('S') || f.is('N'))) {
             closed();
         }
@@ -221,7 +226,7 @@
                 owner.opened(this);
             }
             default -> {
-                // notices
+                // Notices are ignored during login.
             }
         }
     }
@@ -249,7 +254,7 @@
         }
     }
 
-    /** Who opened the connection. */
+    /** Receives changes in the state of a connection from the component that opened it. */
     interface Owner {
 
         void opened(EndpointConnection connection);
@@ -259,7 +264,7 @@
         void lost(EndpointConnection connection);
     }
 
-    /** The endpoint closes a connection that carried a cancel request. */
+    /** Ignores all events: the endpoint closes a cancel connection without an answer. */
     private static final class CancelListener implements FrameListener {
 
         @Override
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
@@ -23,7 +23,7 @@
 import org.hyssopswitch.proxy.forward.TransactionState;
 import org.hyssopswitch.proxy.home.HomeStream.Phase;
 
-/** Runs the streams of one endpoint within its slots and connections. */
+/** Runs the streams of one endpoint within the limits on its concurrent statements and connections. */
 final class EndpointHome implements CycleRun.Listener {
 
     private static final long CONFIRM_TIMEOUT_MILLIS = 5_000;
@@ -66,17 +66,17 @@
     }
 
     /**
-     * Sets the bounds.
+     * Sets the limits.
      *
-     * @param newSlots statements that run at once
-     * @param connections greatest number of statement connections
+     * @param newSlots maximum number of statements that run at the same time
+     * @param connections maximum number of statement connections
      */
     void resize(int newSlots, int connections) {
         slots = newSlots;
         pool.resize(connections, Math.min(newSlots, connections));
     }
 
-    /** Takes a status that the endpoint reported. */
+    /** Updates the status that the endpoint last reported. */
     void updateStatus(EndpointStatus newStatus) {
         status = Option.some(newStatus);
     }
@@ -111,7 +111,7 @@
         }
         HomeStream stream = streams.get(key);
         if (stream != null && (stream.phase() == Phase.QUEUED || stream.phase() == Phase.RESETTING)) {
-            // The first part still waits here: what follows it is appended.
+            // The first part has not been sent yet, so later parts are appended to it.
             stream.append(part);
         }
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Gives up a stream; an open transaction is rolled back because its connection is closed. */
+    /** Closes a stream and its connection, which rolls back an open transaction. */
     void close(StreamKey key) {
         HomeStream stream = streams.remove(key);
         if (stream == null) {
@@ -146,7 +146,7 @@
         startPending();
     }
 
-    /** Gives up the streams of an entry VM, which may have missed answers. */
+    /** Closes the streams of an entry VM whose link failed, because answers to it may have been lost. */
     void closeStreamsOf(VmAddress entry) {
         List<HomeStream> lost = streams.values().stream()
                 .filter(s -> s.key().entry().equals(entry))
@@ -169,8 +169,9 @@
     }
 
     /**
-     * Ends what needs the primary, because the endpoint is no longer it: an answer that is still missing may never come
-     * and could not be acknowledged, and what has not been sent is better run by the new primary.
+     * Fails the pending and running streams that need the primary, because the endpoint has been replaced as primary.
+     * The answer to a running cycle may never arrive, and could not be acknowledged; a cycle that has not been sent can
+     * run at the new primary.
      */
     void endPrimaryStreams() {
         streams.values().stream()
@@ -189,7 +190,7 @@
         }
     }
 
-    /** Tells whether nothing is left to do after the VM stopped being home. */
+    /** Whether no stream is left, so that a home that is no longer assigned to this VM can be closed. */
     boolean isDrained() {
         return streams.isEmpty();
     }
@@ -243,7 +244,10 @@
         startPending();
     }
 
-    /** An entry VM that was cut off cannot say that its caller is gone. */
+    /**
+     * Closes streams whose transaction exceeded the idle timeout: an unreachable entry VM cannot report that its caller
+     * has disconnected.
+     */
     private void closeIdleTransactions() {
         long before = context.loop().nowMillis() - IDLE_TRANSACTION_TIMEOUT_MILLIS;
         List<StreamKey> abandoned = streams.values().stream()
@@ -322,7 +326,9 @@
         return pool.size() == 0 && pool.failures() > 0;
     }
 
-    /** Starts a stream if a connection is free. */
+    /**
+     * Starts a stream, or refuses it if the endpoint has not applied its floor. Returns false if no connection is free.
+     */
     private boolean start(HomeStream stream) {
         if (!hasApplied(stream.routing().floor())) {
             refuse(stream, AnswerState.NOT_COVERED, 0, "the endpoint has not applied the session's floor");
@@ -344,7 +350,7 @@
         return floor.equals(LogPosition.ZERO) || status.exists(s -> s.covers(floor));
     }
 
-    /** Resets a connection that another account has used, then runs the stream's cycle on it. */
+    /** Binds the connection to the stream, resets it if another account used it last, then runs the cycle. */
     private void prepare(HomeStream stream, EndpointConnection connection) {
         boolean usedByOther =
                 connection.account().exists(a -> !a.equals(stream.routing().account()));
@@ -396,7 +402,10 @@
         }
     }
 
-    /** Takes a position that came with an answer; a new term needs a whole status. */
+    /**
+     * Updates the applied position within the same term; a new term takes effect only with a full status of the
+     * endpoint.
+     */
     private void updateApplied(LogPosition position) {
         positionListener.accept(endpoint.id(), position);
         status = status.map(s -> s.applied().term() == position.term() && position.compareTo(s.applied()) > 0
@@ -456,7 +465,10 @@
         stream.unbind();
     }
 
-    /** Returns a connection to the pool once nothing of the stream is left on it. */
+    /**
+     * Returns a connection to the pool after removing the session state of its stream; closes it if that fails or if a
+     * cancel request was sent.
+     */
     private void release(HomeStream stream, EndpointConnection connection) {
         stream.unbind();
         if (connection.isCancelRequested()) {
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointParameters.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointParameters.java
@@ -4,21 +4,21 @@
 import io.vavr.control.Try;
 import org.hyssopswitch.core.position.LogPosition;
 
-/** Parameters that endpoints report to homes. */
+/** Parameters that endpoints report to homes in ParameterStatus frames. */
 final class EndpointParameters {
 
-    /** Prefix of the parameters that callers do not see. */
+    /** Prefix of the parameters that are not forwarded to callers. */
     static final String PREFIX = "hyssop.";
 
-    /** Last position applied. */
+    /** Last log position that the endpoint applied. */
     static final String APPLIED = "hyssop.applied";
 
-    /** Position of a committed write. */
+    /** Log position of a committed write. */
     static final String COMMIT = "hyssop.commit";
 
     private EndpointParameters() {}
 
-    /** Reads {@code term/offset}. */
+    /** Parses {@code term/offset}; returns nothing if the text has another form. */
     static Option<LogPosition> position(String text) {
         int slash = text.indexOf('/');
         if (slash < 0) {
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointUser.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointUser.java
@@ -1,14 +1,14 @@
 package org.hyssopswitch.proxy.home;
 
 /**
- * A credential of the proxy at endpoints.
+ * A user and password with which the proxy logs in to endpoints.
  *
  * @param name the user
  * @param password its password
  */
 public record EndpointUser(String name, String password) {
 
-    /** Names the user only. */
+    /** Returns the name only, so that log lines do not contain the password. */
     @Override
     public String toString() {
         return name;
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeCollaborators.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeCollaborators.java
@@ -11,15 +11,15 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * What a home needs of the rest of its VM.
+ * The components of the VM on which its homes depend.
  *
  * @param resolver finds the homes of endpoints
  * @param queues creates statement queues
  * @param confirmer confirms commits
- * @param actions performs the confirmer's actions
+ * @param actions executes the actions that the confirmer returns
  * @param sender sends messages to entry VMs
- * @param positions takes positions that endpoints report with answers
- * @param replaced tells whether an endpoint is a primary that another one has replaced
+ * @param positions receives the log positions that endpoints report with answers
+ * @param replaced whether an endpoint is a former primary that another endpoint has replaced
  */
 public record HomeCollaborators(
         HomeResolver resolver,
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeContext.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeContext.java
@@ -9,16 +9,16 @@
 import org.hyssopswitch.proxy.net.FrameNetwork;
 
 /**
- * What all homes of a VM share.
+ * Components and settings that all homes of a VM share.
  *
  * @param loop the decision thread
  * @param network opens connections
  * @param random source of jitter
- * @param users the proxy's credentials
- * @param application name of this VM and its incarnation, reported to endpoints
- * @param queues creates the queue of an endpoint
+ * @param users users with which to log in to endpoints
+ * @param application this VM's name and incarnation, sent as application_name
+ * @param queues creates an endpoint's statement queue
  * @param confirmer confirms commits
- * @param actions performs the actions of the confirmer
+ * @param actions executes the actions that the confirmer returns
  * @param replySender sends messages to entry VMs
  */
 record HomeContext(
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeOptions.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeOptions.java
@@ -4,15 +4,15 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /**
- * How a VM acts as home.
+ * Options of the homes of a VM.
  *
  * @param self this VM
- * @param users the proxy's credentials at endpoints
+ * @param users users with which to log in to endpoints
  * @param random source of jitter
  */
 public record HomeOptions(VmAddress self, EndpointUsers users, RandomGenerator random) {
 
-    /** The name that endpoints see. */
+    /** Returns the application_name that endpoints see. */
     String application() {
         return self.vm() + "/" + self.incarnation();
     }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
@@ -44,12 +44,12 @@
     private List<LocalEndpoint> localEndpoints = List.of();
 
     /**
-     * Creates a service that is home to nothing.
+     * Creates a service without homes; {@link #configure} opens them.
      *
      * @param loop the decision thread
      * @param network opens connections to endpoints
-     * @param options how this VM acts as home
-     * @param collaborators what it needs of the rest of the VM
+     * @param options options of the homes
+     * @param collaborators components of the VM on which the homes depend
      */
     public HomeService(DecisionLoop loop, FrameNetwork network, HomeOptions options, HomeCollaborators collaborators) {
         this.options = options;
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Takes a configuration into force.
+     * Applies a configuration.
      *
      * @param next the configuration
      */
@@ -79,7 +79,10 @@
         applyPlacement();
     }
 
-    /** Runs periodic work: placement, queue deadlines and connections. */
+    /**
+     * Applies the placement, expires queued statements and idle transactions, maintains the connection pools, and fails
+     * cycles at replaced primaries.
+     */
     public void tick() {
         applyPlacement();
         homes.values().forEach(EndpointHome::tick);
@@ -89,7 +92,7 @@
     }
 
     /**
-     * Handles a message if it concerns homes.
+     * Handles a message between entry VMs and homes; ignores others.
      *
      * @param from the entry VM
      * @param message the message
@@ -109,7 +112,7 @@
     }
 
     /**
-     * Rolls back the streams of an entry VM, whose answers may be lost.
+     * Closes the streams of an entry VM whose link failed, because answers to it may have been lost.
      *
      * @param entry the entry VM
      */
@@ -121,7 +124,7 @@
      * Makes a control call.
      *
      * @param call the call
-     * @param callback takes the answer
+     * @param callback receives the {@link Event.EndpointAnswered}
      */
     public void call(Action.CallEndpoint call, Consumer<Event> callback) {
         ControlConnections connections = controlConnections.get(call.endpoint());
@@ -133,21 +136,21 @@
     }
 
     /**
-     * Ends the wait of an answer for its confirmation.
+     * Resolves the confirmation for which an answer is held.
      *
-     * @param resolution the outcome
+     * @param resolution ticket of the confirmation and its outcome
      */
     public void resolve(Action.ResolveCommit resolution) {
         confirmations.resolve(resolution.ticket(), resolution.confirmed());
     }
 
-    /** The state of each endpoint that this VM is home to. */
+    /** Returns the status of each endpoint of which this VM is a home. */
     public List<HomeStatus> statuses() {
         return homes.values().stream().map(EndpointHome::homeStatus).toList();
     }
 
     /**
-     * Statements that run or wait at an endpoint.
+     * Returns the number of streams that run, wait or hold a transaction open at an endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -155,7 +158,7 @@
         return Option.of(homes.get(endpoint)).map(EndpointHome::streamCount).getOrElse(0);
     }
 
-    /** Tells whether no stream is left. */
+    /** Whether no stream is left. */
     public boolean isIdle() {
         return homes.values().stream().allMatch(EndpointHome::isDrained);
     }
@@ -184,7 +187,7 @@
         callback.accept(new Event.EndpointAnswered(call.call(), call.endpoint(), result));
     }
 
-    /** Opens the homes that the placement assigns to this VM and drains the others. */
+    /** Opens the homes that the placement assigns to this VM, and drains the others. */
     private void applyPlacement() {
         Map<EndpointId, EndpointDeclaration> assigned = new HashMap<>();
         localEndpoints.forEach(o -> placeEndpoint(o.database(), o.endpoint(), assigned));
@@ -216,7 +219,10 @@
         collaborators.positions().accept(endpoint, position);
     }
 
-    /** Closes a home once its streams have ended; its idle connections go at once to make room for the successor. */
+    /**
+     * Closes a home that is no longer assigned to this VM once its streams have ended. Until then, connections are
+     * closed as they are released, to leave room for those of the new home.
+     */
     private void closeWhenDrained(EndpointHome home) {
         home.resize(1, 0);
         if (home.isDrained()) {
@@ -228,10 +234,13 @@
         }
     }
 
-    /** An endpoint of this VM's cell; kept so that periodic work does not pass over all declared databases. */
+    /** An endpoint of this VM's cell; kept in a list so that periodic work does not scan all declared databases. */
     private record LocalEndpoint(DatabaseDeclaration database, EndpointDeclaration endpoint) {}
 
-    /** The two control connections of an endpoint; waits have their own, so that they do not delay other calls. */
+    /**
+     * The two control connections of an endpoint. Calls that wait for a position have their own, so that they do not
+     * delay other calls.
+     */
     private static final class ControlConnections {
 
         private final ControlConnection commands;
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeStatus.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeStatus.java
@@ -5,12 +5,12 @@
 import org.hyssopswitch.core.position.EndpointStatus;
 
 /**
- * What a home reports about one endpoint.
+ * Status of one endpoint as seen by its home.
  *
  * @param endpoint the endpoint
- * @param status the last status that the endpoint reported
+ * @param status last status that the endpoint reported
  * @param streams streams that run, wait or hold a transaction open
- * @param queued statements that wait for a slot
+ * @param queued statements in the queue
  * @param connections open statement connections
  */
 public record HomeStatus(
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeStream.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeStream.java
@@ -12,7 +12,7 @@
 import org.hyssopswitch.proxy.forward.ExecuteCycle;
 import org.hyssopswitch.proxy.forward.TransactionState;
 
-/** A stream of cycles of one caller, from its first cycle until no transaction is open. */
+/** A sequence of cycles of one caller at a home, from its first cycle until no transaction is open. */
 final class HomeStream {
 
     private static final int CREDIT_WINDOW_BYTES = 256 * 1024;
@@ -58,7 +58,7 @@
         phase = next;
     }
 
-    /** Notes when the transaction became idle. */
+    /** Records when the open transaction became idle. */
     void setIdleSince(long nowMillis) {
         idleSinceMillis = nowMillis;
     }
@@ -85,7 +85,7 @@
         phase = Phase.QUEUED;
     }
 
-    /** Adds a part to a cycle that has not started. */
+    /** Appends a part to a cycle that has not been sent to the endpoint. */
     void append(ContinueCycle part) {
         byte[] frames = Arrays.copyOf(cycle.frames(), cycle.frames().length + part.frames().length);
         System.arraycopy(part.frames(), 0, frames, cycle.frames().length, part.frames().length);
@@ -100,7 +100,10 @@
         return buffered.size();
     }
 
-    /** Sends what is buffered. */
+    /**
+     * Sends the buffered part of the answer. Stops reading from the endpoint when the bytes for which no credit has
+     * come back reach the credit window.
+     */
     void flush() {
         if (buffered.size() == 0) {
             return;
@@ -122,12 +125,12 @@
         }
     }
 
-    /** Answers the cycle with what is buffered. */
+    /** Ends the cycle with the rest of the answer. */
     void complete(TransactionState transaction, Confirmation confirmed) {
         end(AnswerState.COMPLETE, transaction, confirmed, 0, "");
     }
 
-    /** Answers the cycle with a failure; what is buffered is dropped. */
+    /** Ends the cycle with a failure and discards the buffered part of the answer. */
     void fail(AnswerState state, long retryAfterMillis, String reason) {
         buffered.reset();
         end(state, TransactionState.IDLE, Confirmation.NONE, retryAfterMillis, reason);
@@ -158,19 +161,19 @@
         buffered.reset();
     }
 
-    /** What a stream is doing. */
+    /** The state of a stream. */
     enum Phase {
-        /** Its cycle waits for a slot or a connection. */
+        /** The cycle waits for a slot or a connection. */
         QUEUED,
-        /** Its connection is being reset. */
+        /** The connection is being reset. */
         RESETTING,
-        /** Its cycle is at the endpoint. */
+        /** The cycle is running at the endpoint. */
         RUNNING,
-        /** The answer waits for the confirmation of a majority. */
+        /** The answer is held until a majority of the group confirms its position. */
         CONFIRMING,
         /** A transaction is open and no cycle is running. */
         IDLE,
-        /** Nothing of it may be answered any more. */
+        /** The stream has ended; no further answer may be sent. */
         CLOSED
     }
 }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/PendingConfirmations.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/PendingConfirmations.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The answers that wait for a confirmation, by ticket. */
+/** Callbacks of the answers that are held until their position is confirmed, by ticket. */
 final class PendingConfirmations {
 
     private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/QueueFactory.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/QueueFactory.java
@@ -2,14 +2,14 @@
 
 import org.hyssopswitch.core.fairness.StatementQueue;
 
-/** Creates the queues of endpoints. */
+/** Creates the statement queues of endpoints. */
 @FunctionalInterface
 public interface QueueFactory {
 
     /**
      * Creates a queue.
      *
-     * @param <T> what is queued
+     * @param <T> type of the queued elements
      */
     <T> StatementQueue<T> create();
 }
