--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionShare.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConnectionShare.java
@@ -9,12 +9,12 @@
     private ConnectionShare() {}
 
     /**
-     * Statement connections of a home.
+     * Returns the number of statement connections that a home may open.
      *
-     * @param cap connections that the endpoint accepts
+     * @param cap number of connections that the endpoint accepts
      * @param rank 0 for the home, 1 for the standby
      */
-    static int of(int cap, int rank) {
+    static int statementConnections(int cap, int rank) {
         int budget = Math.max(2, cap - CONTROL_CONNECTIONS);
         int home = Math.max(1, budget * 2 / 3);
         return rank == 0 ? home : Math.max(1, budget - home);
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointConnection.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointConnection.java
@@ -16,7 +16,7 @@
 import org.hyssopswitch.wire.FrontendFrames;
 import org.hyssopswitch.wire.WireFailure;
 
-/** One connection to an endpoint, from its login to its end. Runs one cycle at a time. */
+/** A connection to an endpoint, including its login. It runs one cycle at a time. */
 final class EndpointConnection implements FrameListener {
 
     private static final int AUTHENTICATION_OK = 0;
@@ -25,17 +25,17 @@
     private final FrameNetwork network;
     private final ConnectionSpec spec;
     private final Owner owner;
-    private final Set<String> statements = new HashSet<>();
+    private final Set<String> preparedStatements = new HashSet<>();
     private Option<FrameChannel> channel = Option.none();
     private Option<CycleHandler> handler = Option.none();
     private Option<ClientAccountId> account = Option.none();
     private Option<LogPosition> applied = Option.none();
-    private String loginError = "";
-    private int process;
-    private int secret;
+    private String loginSqlState = "";
+    private int processId;
+    private int secretKey;
     private boolean ready;
-    private boolean dirty;
-    private boolean cancelled;
+    private boolean stateChanged;
+    private boolean cancelRequested;
     private boolean closed;
 
     EndpointConnection(FrameNetwork network, ConnectionSpec spec, Owner owner) {
@@ -56,67 +56,69 @@
         return spec.user();
     }
 
-    boolean usable() {
+    boolean isUsable() {
         return ready && !closed;
     }
 
-    /** The position that the endpoint reported last on this connection. */
+    /** Returns the last log position that the endpoint reported on this connection. */
     Option<LogPosition> applied() {
         return applied;
     }
 
-    /** The account that used the connection last; nothing for a fresh or reset one. */
+    /** Returns the account that last used the connection; empty for a new or reset connection. */
     Option<ClientAccountId> account() {
         return account;
     }
 
-    void usedBy(ClientAccountId user) {
-        account = Option.some(user);
+    void setAccount(ClientAccountId newAccount) {
+        account = Option.some(newAccount);
     }
 
-    /** Notes a statement that the cycle prepares, so that it is closed before another stream runs. */
-    void prepares(String statement) {
-        statements.add(statement);
+    /** Records a statement that the cycle prepares, so that it is closed before another stream uses the connection. */
+    void addPreparedStatement(String statement) {
+        preparedStatements.add(statement);
     }
 
-    /** Notes that session state was changed. */
-    void changed() {
-        dirty = true;
+    /** Records that a cycle changed session state, so that the connection is reset before another stream uses it. */
+    void markStateChanged() {
+        stateChanged = true;
     }
 
-    boolean changedState() {
-        return dirty;
+    boolean hasStateChanged() {
+        return stateChanged;
     }
 
     Set<String> preparedStatements() {
-        return statements;
+        return preparedStatements;
     }
 
-    /** Notes that the connection is as new. */
-    void wasReset() {
-        dirty = false;
+    /** Records that the session state was reset. */
+    void markReset() {
+        stateChanged = false;
         account = Option.none();
-        statements.clear();
+        preparedStatements.clear();
     }
 
-    /** Tells whether a cancel request was sent, which may still hit whatever runs here. */
-    boolean wasCancelled() {
-        return cancelled;
+    /** Whether a cancel request was sent; it may still cancel a later cycle on this connection. */
+    boolean isCancelRequested() {
+        return cancelRequested;
     }
 
     /**
-     * Sends a cycle or a part of one.
+     * Sends all or part of a cycle.
      *
-     * @param frames frames, encoded
-     * @param target takes the answer
+     * @param frames the encoded frames
+     * @param newHandler receives the answer
      */
-    void run(byte[] frames, CycleHandler target) {
-        handler = Option.some(target);
+    void run(byte[] frames, CycleHandler newHandler) {
+        handler = Option.some(newHandler);
         channel.get().send(frames);
     }
 
-    /** Ends the cycle: whatever arrives next without a new one closes the connection. */
-    void cycleEnded() {
+    /**
+     * Ends the cycle. Until the next one starts, any frame other than a notice or a parameter closes the connection.
+     */
+    void endCycle() {
         handler = Option.none();
     }
 
@@ -128,10 +130,13 @@
         channel.forEach(FrameChannel::resume);
     }
 
-    /** Asks the endpoint to cancel what runs; the connection must be closed when its stream ends. */
+    /**
+     * Requests the endpoint to cancel the running cycle. The connection must not be reused by another stream, because
+     * the request may arrive late.
+     */
     void cancel() {
-        cancelled = true;
-        byte[] request = FrontendFrames.cancelRequest(process, secret).encode();
+        cancelRequested = true;
+        byte[] request = FrontendFrames.cancelRequest(processId, secretKey).encode();
         network.connect(spec.endpoint().host(), spec.endpoint().port(), new CancelListener(), c -> c.send(request));
     }
 
@@ -150,10 +155,10 @@
             return;
         }
         if (ready) {
-            answered(frames);
+            deliver(frames);
             return;
         }
-        frames.forEach(this::loginFrame);
+        frames.forEach(this::handleLoginFrame);
     }
 
     @Override
@@ -172,18 +177,18 @@
         if (wasReady) {
             owner.lost(this);
         } else {
-            owner.openFailed(this, loginError);
+            owner.openFailed(this, loginSqlState);
         }
-        running.forEach(CycleHandler::lost);
+        running.forEach(CycleHandler::connectionLost);
     }
 
-    private void answered(List<Frame> frames) {
-        frames.forEach(this::noteParameter);
+    private void deliver(List<Frame> frames) {
+        frames.forEach(this::recordAppliedPosition);
         if (handler.isDefined()) {
-            handler.get().answered(frames);
+            handler.get().framesReceived(frames);
             return;
         }
-        // An answer that nobody waits for is late or crossed; only notices and parameters come unasked.
+        // An answer outside a cycle is late or belongs to another; only notices and parameters may come unsolicited.
         if (!frames.stream().allMatch(f -> f.is('S') || f.is('N'))) {
             closed();
         }
@@ -202,16 +207,16 @@
                 .encode());
     }
 
-    private void loginFrame(Frame frame) {
+    private void handleLoginFrame(Frame frame) {
         if (closed || ready) {
             return;
         }
         switch ((char) frame.type()) {
             case 'R' -> authenticate(new BodyReader(frame.body()).readInt());
-            case 'S' -> noteParameter(frame);
-            case 'K' -> keyData(new BodyReader(frame.body()));
+            case 'S' -> recordAppliedPosition(frame);
+            case 'K' -> readKeyData(new BodyReader(frame.body()));
             case 'E' -> {
-                loginError = BackendFrames.parseError(frame)
+                loginSqlState = BackendFrames.parseError(frame)
                         .map(BackendFrames.ErrorReport::sqlState)
                         .getOrElse("");
                 closed();
@@ -221,7 +226,7 @@
                 owner.opened(this);
             }
             default -> {
-                // notices
+                // Notices are ignored during login.
             }
         }
     }
@@ -234,12 +239,12 @@
         }
     }
 
-    private void keyData(BodyReader body) {
-        process = body.readInt();
-        secret = body.readInt();
+    private void readKeyData(BodyReader body) {
+        processId = body.readInt();
+        secretKey = body.readInt();
     }
 
-    private void noteParameter(Frame frame) {
+    private void recordAppliedPosition(Frame frame) {
         if (frame.is('S')) {
             BackendFrames.parseParameterStatus(frame)
                     .toOption()
@@ -249,7 +254,7 @@
         }
     }
 
-    /** Who opened the connection. */
+    /** Receives changes in the state of a connection from the component that opened it. */
     interface Owner {
 
         void opened(EndpointConnection connection);
@@ -259,7 +264,7 @@
         void lost(EndpointConnection connection);
     }
 
-    /** The endpoint closes a connection that carried a cancel request. */
+    /** Ignores all events: the endpoint closes a cancel connection without an answer. */
     private static final class CancelListener implements FrameListener {
 
         @Override
