--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/PendingConfirmations.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ConfirmationCallbacks.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** Callbacks of the answers that are held until their position is confirmed, by ticket. */
-final class PendingConfirmations {
+final class ConfirmationCallbacks {
 
     private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
     private long lastTicket;
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/EndpointHome.java
@@ -34,7 +34,7 @@
     private final DatabaseId database;
     private final EndpointDeclaration endpoint;
     private final StatementQueue<HomeStream> queue;
-    private final PendingConfirmations confirmations;
+    private final ConfirmationCallbacks confirmations;
     private final BiConsumer<EndpointId, LogPosition> positionListener;
     private final Map<StreamKey, HomeStream> streams = new HashMap<>();
     private final Map<StreamKey, CycleRun> runs = new HashMap<>();
@@ -49,7 +49,7 @@
             HomeContext context,
             DatabaseId database,
             EndpointDeclaration endpoint,
-            PendingConfirmations confirmations,
+            ConfirmationCallbacks confirmations,
             BiConsumer<EndpointId, LogPosition> positionListener) {
         this.positionListener = positionListener;
         this.context = context;
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
@@ -38,7 +38,7 @@
     private final HomeOptions options;
     private final HomeCollaborators collaborators;
     private final HomeContext context;
-    private final PendingConfirmations confirmations = new PendingConfirmations();
+    private final ConfirmationCallbacks confirmations = new ConfirmationCallbacks();
     private final Map<EndpointId, EndpointHome> homes = new HashMap<>();
     private final Map<EndpointId, ControlConnections> controlConnections = new HashMap<>();
     private List<LocalEndpoint> localEndpoints = List.of();
