--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ByteBudget.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ByteRateLimiter.java
@@ -1,7 +1,7 @@
 package org.hyssopswitch.core.configuration;
 
 /** Bounds the bytes that are sent per second; one page may exceed what is left and delays the next. */
-final class ByteBudget {
+final class ByteRateLimiter {
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -10,7 +10,7 @@
     private long updatedMillis;
     private boolean started;
 
-    ByteBudget(long bytesPerSecond) {
+    ByteRateLimiter(long bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
         this.available = bytesPerSecond;
     }
@@ -21,7 +21,7 @@
         return available > 0 ? 0 : 1 - available * MILLIS_PER_SECOND / bytesPerSecond;
     }
 
-    void spend(long bytes) {
+    void consume(long bytes) {
         available -= bytes;
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CellReporter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CellReporter.java
@@ -45,7 +45,7 @@
     }
 
     /** A member told its version. */
-    void saw(VmAddress member, long version) {
+    void recordVersion(VmAddress member, long version) {
         if (member.cell().equals(self.cell())) {
             versions.merge(member, version, Math::max);
         }
@@ -62,15 +62,15 @@
         if (waiting || nowMillis < notBeforeMillis || ownVersion == 0) {
             return;
         }
-        byte[] report = report(ownVersion, others);
+        byte[] report = createReport(ownVersion, others);
         if (objectVersion >= 0 && Arrays.equals(report, written)) {
             return;
         }
-        send(report, nowMillis, out);
+        sendCall(report, nowMillis, out);
     }
 
     /** Takes the answer of the open call. */
-    void take(long call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
+    void handleAnswer(long call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
         if (!open || call != openCall) {
             return;
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    private void send(byte[] report, long nowMillis, Outbox out) {
+    private void sendCall(byte[] report, long nowMillis, Outbox out) {
         open = true;
         openCall = numbers.getAsLong();
         sentMillis = nowMillis;
@@ -97,7 +97,7 @@
                         : new Action.UpdateObject(openCall, path, objectVersion, report));
     }
 
-    private byte[] report(long ownVersion, List<VmAddress> others) {
+    private byte[] createReport(long ownVersion, List<VmAddress> others) {
         long lowest = others.stream().mapToLong(this::versionOf).min().orElse(ownVersion);
         String lagging = others.stream()
                 .filter(m -> versionOf(m) < ownVersion)
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaReader.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaReader.java
@@ -28,23 +28,23 @@
      */
     static byte[] read(byte[] base, byte[] delta) throws DataFormatException {
         DeltaReader reader = new DeltaReader(base, delta);
-        reader.literal();
+        reader.readLiteral();
         while (reader.in.hasRemaining()) {
-            reader.copy();
-            reader.literal();
+            reader.readCopy();
+            reader.readLiteral();
         }
         return reader.value.toByteArray();
     }
 
-    private void literal() throws DataFormatException {
-        int length = length(in.remaining());
+    private void readLiteral() throws DataFormatException {
+        int length = readLength(in.remaining());
         value.write(in.array(), in.position(), length);
         in.position(in.position() + length);
     }
 
-    private void copy() throws DataFormatException {
-        int length = length(base.length);
-        int offset = baseEnd + unzigzag(number());
+    private void readCopy() throws DataFormatException {
+        int length = readLength(base.length);
+        int offset = baseEnd + decodeZigZag(readVarint());
         if (offset < 0 || offset > base.length - length) {
             throw new DataFormatException("a copy lies outside the base");
         }
@@ -52,15 +52,15 @@
         baseEnd = offset + length;
     }
 
-    private int length(int limit) throws DataFormatException {
-        int length = number();
+    private int readLength(int limit) throws DataFormatException {
+        int length = readVarint();
         if (length < 0 || length > limit || value.size() + length > SubtreeDelta.MAX_VALUE_BYTES) {
             throw new DataFormatException("a length is out of bounds: " + length);
         }
         return length;
     }
 
-    private int number() throws DataFormatException {
+    private int readVarint() throws DataFormatException {
         int number = 0;
         for (int shift = 0; shift <= MAX_SHIFT; shift += 7) {
             byte next = in.get();
@@ -72,7 +72,7 @@
         throw new DataFormatException("a number is too long");
     }
 
-    private static int unzigzag(int number) {
+    private static int decodeZigZag(int number) {
         return (number >>> 1) ^ -(number & 1);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/PlatformWatch.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/PlatformWatch.java
@@ -27,7 +27,7 @@
     }
 
     /** Opens the call unless one is open or the delay has not passed. */
-    void open(long afterVersion, long nowMillis, Outbox out) {
+    void openIfDue(long afterVersion, long nowMillis, Outbox out) {
         if (isOpen(nowMillis) || nowMillis < notBeforeMillis) {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /** Takes the answer of the open call; false when it belongs to another. */
-    boolean take(long call) {
+    boolean closeCall(long call) {
         if (!open || call != openCall) {
             return false;
         }
@@ -51,15 +51,15 @@
     }
 
     /** When the call that was answered last was sent. */
-    long sentMillis() {
+    long lastSentMillis() {
         return sentMillis;
     }
 
-    void succeeded() {
+    void recordSuccess() {
         delayMillis = 0;
     }
 
-    void failed(PlatformFailure failure, long nowMillis) {
+    void recordFailure(PlatformFailure failure, long nowMillis) {
         delayMillis =
                 delayMillis == 0 ? settings.minRetryMillis() : Math.min(settings.maxRetryMillis(), delayMillis * 2);
         long asked = failure instanceof PlatformFailure.Throttled throttled ? throttled.retryAfterMillis() : 0;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
@@ -33,24 +33,24 @@
     }
 
     /** The other live members of the own cell. */
-    List<VmAddress> others() {
+    List<VmAddress> otherMembers() {
         refresh();
         return others;
     }
 
     /** Whether this VM is among the first live members. */
     boolean isRelay(int relays) {
-        return first(relays).contains(self());
+        return topRanked(relays).contains(self());
     }
 
     /** The first live members that are not suspected. */
-    List<VmAddress> first(int count) {
+    List<VmAddress> topRanked(int count) {
         refresh();
         return ranked.subList(0, Math.min(count, ranked.size()));
     }
 
     /** A random live member of one of the few other cells that this VM asks. */
-    List<VmAddress> elsewhere(List<CellId> cells) {
+    List<VmAddress> chooseMemberOfOtherCell(List<CellId> cells) {
         List<VmAddress> members = cells.stream()
                 .filter(c -> !c.equals(self().cell()))
                 .sorted(RendezvousUtils.byScore(self().vm().value(), CellId::value))
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/StartupGate.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/StartupGate.java
@@ -38,21 +38,21 @@
     }
 
     /** The members that are still to be asked; they count as asked from now on. */
-    List<VmAddress> toAsk(List<VmAddress> members, long nowMillis) {
+    List<VmAddress> markQueried(List<VmAddress> members, long nowMillis) {
         return members.stream()
                 .filter(m -> asked.putIfAbsent(m, nowMillis) == null)
                 .toList();
     }
 
     /** A member answered or cannot be reached. */
-    void done(VmAddress member) {
+    void markAnswered(VmAddress member) {
         if (!ready) {
             asked.put(member, DONE);
         }
     }
 
     /** Whether the platform is to be asked directly, because no member has a version that it confirmed lately. */
-    boolean wantsPlatform(long ageMillis, long nowMillis) {
+    boolean shouldQueryPlatform(long ageMillis, long nowMillis) {
         return !ready && ageMillis > FRESH_MILLIS && nowMillis - startMillis >= answerTimeoutMillis / 2;
     }
 
@@ -61,8 +61,8 @@
         return ready || version > 0 || nowMillis - startMillis >= answerTimeoutMillis / 2;
     }
 
-    void update(long version, boolean behind, long ageMillis, long nowMillis) {
-        if (ready || version == 0 || behind || isAwaiting(nowMillis)) {
+    void updateReadiness(long version, boolean behind, long ageMillis, long nowMillis) {
+        if (ready || version == 0 || behind || hasPendingQuery(nowMillis)) {
             return;
         }
         ready = ageMillis <= FRESH_MILLIS || nowMillis - startMillis >= UNCONFIRMED_DELAY_MILLIS;
@@ -71,7 +71,7 @@
         }
     }
 
-    private boolean isAwaiting(long nowMillis) {
+    private boolean hasPendingQuery(long nowMillis) {
         return asked.values().stream().anyMatch(t -> t != DONE && nowMillis - t < answerTimeoutMillis);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CatchUp.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeFetcher.java
@@ -20,7 +20,7 @@
  * version of each subtree; the pages are therefore whole only when they reach the highest version that any sender of
  * them had.
  */
-final class CatchUp {
+final class SubtreeFetcher {
 
     private static final int MAX_SOURCES = 64;
 
@@ -38,14 +38,14 @@
     private long askedMillis;
     private long notBeforeMillis;
 
-    CatchUp(SubtreeStore store, ConfigurationSettings settings, RandomGenerator random) {
+    SubtreeFetcher(SubtreeStore store, ConfigurationSettings settings, RandomGenerator random) {
         this.store = store;
         this.settings = settings;
         this.random = random;
     }
 
     /** The highest version that a peer has announced. */
-    long highest() {
+    long highestAnnouncedVersion() {
         return highest;
     }
 
@@ -55,7 +55,7 @@
     }
 
     /** Remembers that a peer has a version. */
-    void heard(VmAddress from, long version) {
+    void recordVersion(VmAddress from, long version) {
         highest = Math.max(highest, version);
         if (version <= store.version()) {
             return;
@@ -77,10 +77,10 @@
             return;
         }
         sources.values().removeIf(v -> v <= store.version());
-        pickSource().ifPresent(s -> ask(s, nowMillis, out));
+        chooseSource().ifPresent(s -> sendRequest(s, nowMillis, out));
     }
 
-    void linkFailed(VmAddress to) {
+    void removeSource(VmAddress to) {
         sources.remove(to);
         if (to.equals(asked)) {
             asked = null;
@@ -88,7 +88,7 @@
     }
 
     /** Takes a page; gives the staged subtrees and their version when they are whole. */
-    Option<Whole> take(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
+    Option<Whole> handlePage(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
         if (!from.equals(asked) || page.sequence() != sequence) {
             return Option.none();
         }
@@ -97,15 +97,15 @@
             notBeforeMillis = nowMillis + random.nextLong(page.retryAfterMillis() + 1);
             return Option.none();
         }
-        if (!stage(page)) {
-            retryWhole(from, nowMillis, out);
+        if (!stageChanges(page)) {
+            retryWithoutBase(from, nowMillis, out);
             return Option.none();
         }
         return advance(from, page, nowMillis, out);
     }
 
     /** Forgets what is staged, because another version came into force meanwhile. */
-    void restart() {
+    void reset() {
         staged.clear();
         cursor = 0;
         target = 0;
@@ -114,15 +114,15 @@
     }
 
     /** The base was another than the sender thought; a whole value that cannot be read ends the source. */
-    private void retryWhole(VmAddress from, long nowMillis, Outbox out) {
+    private void retryWithoutBase(VmAddress from, long nowMillis, Outbox out) {
         boolean wasWhole = whole;
-        restart();
+        reset();
         if (wasWhole) {
             sources.remove(from);
             return;
         }
         whole = true;
-        ask(from, nowMillis, out);
+        sendRequest(from, nowMillis, out);
     }
 
     private Option<Whole> advance(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
@@ -130,18 +130,18 @@
         target = Math.max(target, page.senderVersion());
         if (page.isLast() && cursor >= target) {
             Whole result = new Whole(List.copyOf(staged.values()), cursor);
-            restart();
+            reset();
             return Option.of(result);
         }
         if (page.isLast()) {
             sources.remove(from);
         } else {
-            ask(from, nowMillis, out);
+            sendRequest(from, nowMillis, out);
         }
         return Option.none();
     }
 
-    private void ask(VmAddress source, long nowMillis, Outbox out) {
+    private void sendRequest(VmAddress source, long nowMillis, Outbox out) {
         sequence++;
         asked = source;
         askedMillis = nowMillis;
@@ -150,7 +150,7 @@
     }
 
     /** A random one among the sources of the highest version. */
-    private Optional<VmAddress> pickSource() {
+    private Optional<VmAddress> chooseSource() {
         long best = sources.values().stream().mapToLong(v -> v).max().orElse(0);
         List<VmAddress> candidates = sources.entrySet().stream()
                 .filter(e -> e.getValue() == best)
@@ -159,9 +159,9 @@
         return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 
-    private boolean stage(ConfigurationPage page) {
+    private boolean stageChanges(ConfigurationPage page) {
         for (SubtreeChange change : page.changes()) {
-            Optional<byte[]> value = decode(change);
+            Optional<byte[]> value = decodeChange(change);
             if (value.isEmpty()) {
                 return false;
             }
@@ -173,7 +173,7 @@
         return true;
     }
 
-    private Optional<byte[]> decode(SubtreeChange change) {
+    private Optional<byte[]> decodeChange(SubtreeChange change) {
         if (change.encoded().length == 0) {
             return Optional.of(Subtree.NO_VALUE);
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
@@ -85,7 +85,7 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.EndpointAnswered answered) {
+        if (event instanceof Event.EndpointCallCompleted answered) {
             onEndpointAnswer(answered, nowMillis, out);
         } else if (event instanceof Event.LinkFailed failed) {
             List.copyOf(pending.entrySet()).stream()
@@ -118,7 +118,7 @@
         out.add(new Action.CallEndpoint(number, call.endpoint(), call.request(), call.timeoutMillis()));
     }
 
-    private void onEndpointAnswer(Event.EndpointAnswered answered, long nowMillis, Outbox out) {
+    private void onEndpointAnswer(Event.EndpointCallCompleted answered, long nowMillis, Outbox out) {
         ControlOutcome outcome = ControlOutcome.of(answered.result().map(r -> r));
         // Awaits update a replica's position far more often than polls do.
         outcome.status().ifPresent(status -> endpoints.observeApplied(status.endpoint(), status.applied()));
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
@@ -102,7 +102,7 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.ObjectAnswered answered) {
+        if (event instanceof Event.ObjectCallCompleted answered) {
             promotions.values().forEach(p -> p.onAnswer(answered, nowMillis, out));
         }
     }
@@ -199,7 +199,7 @@
             claim.start(out);
         }
 
-        private void onAnswer(Event.ObjectAnswered answered, long nowMillis, Outbox out) {
+        private void onAnswer(Event.ObjectCallCompleted answered, long nowMillis, Outbox out) {
             if (claim != null) {
                 boolean leaseExpired =
                         holderFirstSeenMillis != UNSET && nowMillis - holderFirstSeenMillis >= LEASE_EXPIRY_MILLIS;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
@@ -165,7 +165,7 @@
         }
     }
 
-    void handle(Event.ObjectAnswered event, long nowMillis) {
+    void handle(Event.ObjectCallCompleted event, long nowMillis) {
         PendingCall call = pendingCalls.remove(event.call());
         if (call == null) {
             return;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatDetector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatFailureDetector.java
@@ -12,7 +12,7 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /** Sends heartbeats to members of the own cell in random order and suspects those that do not answer. */
-final class HeartbeatDetector {
+final class HeartbeatFailureDetector {
 
     private static final int INDIRECT_PROBES = 2;
     private static final int MAX_RELAYED_PROBES = 256;
@@ -27,7 +27,7 @@
     private long lastSequence;
     private long nextRoundMillis;
 
-    HeartbeatDetector(MemberTable table, VmAddress self, MembershipSettings settings, RandomGenerator random) {
+    HeartbeatFailureDetector(MemberTable table, VmAddress self, MembershipSettings settings, RandomGenerator random) {
         this.table = table;
         this.self = self;
         this.settings = settings;
@@ -45,7 +45,7 @@
     }
 
     /** Sends a heartbeat outside the rotation, for example to a VM that is not known to be live. */
-    void greet(VmAddress target, Outbox out) {
+    void sendHeartbeat(VmAddress target, Outbox out) {
         out.add(new Action.SendMessage(target, new MembershipPing(++lastSequence, table.updatesFor(target))));
     }
 
@@ -67,19 +67,19 @@
         if (relayed.size() >= MAX_RELAYED_PROBES) {
             relayed.remove(relayed.keySet().iterator().next());
         }
-        greet(request.target(), out);
+        sendHeartbeat(request.target(), out);
         relayed.put(lastSequence, new Relayed(from, request.sequence()));
     }
 
     /** Drops the outstanding heartbeats to a VM that has shown itself alive. */
-    void onSeen(VmAddress from) {
+    void cancelProbes(VmAddress from) {
         probes.values().removeIf(probe -> probe.target().equals(from));
     }
 
     private void probe(VmAddress target, long nowMillis, Outbox out) {
         boolean outstanding = probes.values().stream().anyMatch(p -> p.target().equals(target));
         if (!outstanding) {
-            greet(target, out);
+            sendHeartbeat(target, out);
             probes.put(lastSequence, new Probe(target, nowMillis, false));
         }
     }
@@ -114,7 +114,7 @@
 
     private List<VmAddress> others() {
         List<VmAddress> result = new ArrayList<>();
-        table.facts(MemberUpdate::isLive).forEach(f -> result.add(f.address()));
+        table.latestUpdates(MemberUpdate::isLive).forEach(f -> result.add(f.address()));
         result.remove(self);
         return result;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
@@ -15,15 +15,15 @@
         this.transmissions = transmissions;
     }
 
-    MemberUpdate fact() {
+    MemberUpdate latestUpdate() {
         return fact;
     }
 
-    long changedMillis() {
+    long stateChangedMillis() {
         return changedMillis;
     }
 
-    int transmissions() {
+    int remainingTransmissions() {
         return transmissions;
     }
 
@@ -35,7 +35,7 @@
         return fact.state() == MemberState.SUSPECT || linkFailedUntilMillis != Long.MIN_VALUE;
     }
 
-    void change(MemberUpdate next, long nowMillis, int sends) {
+    void applyUpdate(MemberUpdate next, long nowMillis, int sends) {
         if (next.state() != fact.state()) {
             changedMillis = nowMillis;
         }
@@ -47,7 +47,7 @@
         transmissions = sends;
     }
 
-    void transmitted() {
+    void countTransmission() {
         transmissions--;
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberTable.java
@@ -46,8 +46,8 @@
     }
 
     /** The facts about members that satisfy a condition, in order of their names. */
-    List<MemberUpdate> facts(Predicate<MemberUpdate> condition) {
-        return members.values().stream().map(Member::fact).filter(condition).toList();
+    List<MemberUpdate> latestUpdates(Predicate<MemberUpdate> condition) {
+        return members.values().stream().map(Member::latestUpdate).filter(condition).toList();
     }
 
     boolean isGone(VmId vm, long incarnation) {
@@ -76,7 +76,7 @@
     }
 
     /** Notes that a message of a VM arrived, which shows that its incarnation has started. */
-    void seen(VmAddress from, long nowMillis) {
+    void recordContact(VmAddress from, long nowMillis) {
         merge(new MemberUpdate(from, MemberState.ALIVE, 0, false), nowMillis);
         find(from.vm()).ifPresent(row -> clearLinkFailure(row, Long.MAX_VALUE));
     }
@@ -87,7 +87,7 @@
 
     void markLinkFailed(VmAddress address, long nowMillis) {
         find(address.vm())
-                .filter(row -> row.fact().address().equals(address) && !address.equals(self))
+                .filter(row -> row.latestUpdate().address().equals(address) && !address.equals(self))
                 .ifPresent(row -> {
                     row.markLinkFailed(nowMillis + LINK_FAILURE_MILLIS);
                     version++;
@@ -96,7 +96,7 @@
 
     void markLeaving(VmAddress address, long nowMillis) {
         find(address.vm())
-                .map(Member::fact)
+                .map(Member::latestUpdate)
                 .filter(fact -> fact.address().incarnation() == address.incarnation() && !fact.leaving())
                 .ifPresent(fact -> change(
                         members.get(address.vm()),
@@ -108,24 +108,24 @@
     void expire(long nowMillis, long suspicionMillis) {
         for (Member row : List.copyOf(members.values())) {
             clearLinkFailure(row, nowMillis);
-            MemberState state = row.fact().state();
-            if (state == MemberState.SUSPECT && nowMillis - row.changedMillis() >= suspicionMillis) {
-                escalate(row.fact().address(), MemberState.DEAD, nowMillis);
+            MemberState state = row.latestUpdate().state();
+            if (state == MemberState.SUSPECT && nowMillis - row.stateChangedMillis() >= suspicionMillis) {
+                escalate(row.latestUpdate().address(), MemberState.DEAD, nowMillis);
             }
-            if (!row.fact().isLive() && nowMillis - row.changedMillis() > DEAD_KEPT_MILLIS) {
-                members.remove(row.fact().address().vm());
+            if (!row.latestUpdate().isLive() && nowMillis - row.stateChangedMillis() > DEAD_KEPT_MILLIS) {
+                members.remove(row.latestUpdate().address().vm());
                 version++;
             }
         }
     }
 
     /** Declares gone the dead members that a list once held and holds no more. */
-    void confirmGone(Predicate<VmAddress> isListed, long nowMillis) {
+    void applyVmList(Predicate<VmAddress> isListed, long nowMillis) {
         for (Member row : List.copyOf(members.values())) {
-            VmAddress address = row.fact().address();
+            VmAddress address = row.latestUpdate().address();
             if (isListed.test(address)) {
                 row.markListed();
-            } else if (row.fact().state() == MemberState.DEAD && row.isListed()) {
+            } else if (row.latestUpdate().state() == MemberState.DEAD && row.isListed()) {
                 addGone(address.vm(), address.incarnation());
                 escalate(address, MemberState.GONE, nowMillis);
             }
@@ -136,23 +136,23 @@
     List<MemberUpdate> updatesFor(VmAddress recipient) {
         List<MemberUpdate> updates = new ArrayList<>();
         find(recipient.vm())
-                .filter(row -> row.fact().state() != MemberState.ALIVE)
-                .ifPresent(row -> updates.add(row.fact()));
+                .filter(row -> row.latestUpdate().state() != MemberState.ALIVE)
+                .ifPresent(row -> updates.add(row.latestUpdate()));
         List<Member> fresh = members.values().stream()
-                .filter(row -> row.transmissions() > 0)
-                .sorted(Comparator.comparingInt(Member::transmissions).reversed())
+                .filter(row -> row.remainingTransmissions() > 0)
+                .sorted(Comparator.comparingInt(Member::remainingTransmissions).reversed())
                 .limit(MAX_UPDATES_PER_MESSAGE - updates.size())
                 .toList();
         fresh.forEach(row -> {
-            row.transmitted();
-            updates.add(row.fact());
+            row.countTransmission();
+            updates.add(row.latestUpdate());
         });
         return updates;
     }
 
     private void mergeSelf(MemberUpdate update, long nowMillis) {
         Member own = members.get(self.vm());
-        MemberUpdate fact = own.fact();
+        MemberUpdate fact = own.latestUpdate();
         boolean same = update.address().incarnation() == self.incarnation();
         if (same && update.state() != MemberState.ALIVE && update.counter() >= fact.counter()) {
             change(own, new MemberUpdate(self, MemberState.ALIVE, update.counter() + 1, fact.leaving()), nowMillis);
@@ -163,7 +163,7 @@
     }
 
     private void mergeRow(Member row, MemberUpdate update, long nowMillis) {
-        MemberUpdate fact = row.fact();
+        MemberUpdate fact = row.latestUpdate();
         long known = fact.address().incarnation();
         long incoming = update.address().incarnation();
         if (incoming > known) {
@@ -182,7 +182,7 @@
             return;
         }
         if (members.size() >= MAX_MEMBERS) {
-            members.values().removeIf(row -> !row.fact().isLive());
+            members.values().removeIf(row -> !row.latestUpdate().isLive());
         }
         if (members.size() < MAX_MEMBERS) {
             members.put(update.address().vm(), new Member(update, nowMillis, transmissions()));
@@ -192,18 +192,18 @@
 
     private void escalate(VmAddress address, MemberState state, long nowMillis) {
         find(address.vm())
-                .filter(row -> row.fact().address().equals(address)
-                        && row.fact().state().compareTo(state) < 0
+                .filter(row -> row.latestUpdate().address().equals(address)
+                        && row.latestUpdate().state().compareTo(state) < 0
                         && !address.equals(self))
                 .ifPresent(row -> change(
                         row,
                         new MemberUpdate(
-                                address, state, row.fact().counter(), row.fact().leaving()),
+                                address, state, row.latestUpdate().counter(), row.latestUpdate().leaving()),
                         nowMillis));
     }
 
     private void change(Member row, MemberUpdate next, long nowMillis) {
-        row.change(next, nowMillis, transmissions());
+        row.applyUpdate(next, nowMillis, transmissions());
         version++;
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
@@ -32,7 +32,7 @@
     private final MembershipSettings settings;
     private final RandomGenerator random;
     private final MemberTable table;
-    private final HeartbeatDetector detector;
+    private final HeartbeatFailureDetector detector;
     private final CellDirectory directory;
     private final List<VmAddress> ownCellContacts = new ArrayList<>();
     private int listedVms = 1;
@@ -58,12 +58,12 @@
         this.settings = settings;
         this.random = random;
         this.table = new MemberTable(self);
-        this.detector = new HeartbeatDetector(table, self, settings, random);
+        this.detector = new HeartbeatFailureDetector(table, self, settings, random);
         this.directory = new CellDirectory(random);
     }
 
     /** Announces that this VM is leaving and is to get no new work. */
-    public void leave() {
+    public void announceLeaving() {
         table.markLeaving(self, nowMillis);
     }
 
@@ -144,8 +144,8 @@
 
     private void receive(VmAddress from, PeerMessage message, Outbox out) {
         if (from.cell().equals(self.cell())) {
-            table.seen(from, nowMillis);
-            detector.onSeen(from);
+            table.recordContact(from, nowMillis);
+            detector.cancelProbes(from);
         } else {
             directory.addContact(from);
         }
@@ -168,7 +168,7 @@
         if (!request.cell().equals(self.cell())) {
             return new CellViewReply(request.cell(), 0, List.of());
         }
-        List<MemberUpdate> live = table.facts(MemberUpdate::isLive);
+        List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
         long own = ownDigest();
         return new CellViewReply(self.cell(), own, own == request.digest() ? List.of() : live);
     }
@@ -183,7 +183,7 @@
         listedVms = Math.max(1, all.size());
         Set<VmAddress> set = new HashSet<>(all);
         if (set.contains(self)) {
-            table.confirmGone(set::contains, now);
+            table.applyVmList(set::contains, now);
         }
     }
 
@@ -209,13 +209,13 @@
     /** Sends heartbeats to known addresses that are not live members, so that separated parts of a cell meet again. */
     private void greetAbsent(Outbox out) {
         Set<VmAddress> absent = new HashSet<>(ownCellContacts);
-        table.facts(f -> f.state() == MemberState.DEAD).forEach(f -> absent.add(f.address()));
-        List<MemberUpdate> live = table.facts(MemberUpdate::isLive);
+        table.latestUpdates(f -> f.state() == MemberState.DEAD).forEach(f -> absent.add(f.address()));
+        List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
         live.forEach(f -> absent.removeIf(a -> a.vm().equals(f.address().vm())));
         absent.stream()
                 .sorted(RendezvousUtils.byScore(Long.toString(random.nextLong()), a -> a.vm().value()))
                 .limit(2)
-                .forEach(a -> detector.greet(a, out));
+                .forEach(a -> detector.sendHeartbeat(a, out));
     }
 
     /** Asks one random member for its view, which completes what heartbeats have not carried. */
@@ -231,7 +231,7 @@
     private long ownDigest() {
         if (digestVersion != table.version()) {
             digestVersion = table.version();
-            String text = table.facts(MemberUpdate::isLive).toString();
+            String text = table.latestUpdates(MemberUpdate::isLive).toString();
             digest = Math.max(1, text.hashCode() & 0xffff_ffffL);
         }
         return digest;
@@ -258,11 +258,11 @@
 
     /** Whether a dead member waits for confirmation by the list and this VM is one of the few that ask for it. */
     private boolean isUrgentLister() {
-        List<MemberUpdate> dead = table.facts(f -> f.state() == MemberState.DEAD);
+        List<MemberUpdate> dead = table.latestUpdates(f -> f.state() == MemberState.DEAD);
         if (dead.isEmpty()) {
             return false;
         }
-        List<MemberUpdate> live = table.facts(MemberUpdate::isLive);
+        List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
         return dead.stream().anyMatch(d -> live.stream()
                 .map(f -> f.address().vm())
                 .sorted(RendezvousUtils.byScore(d.address().vm().value(), VmId::value))
@@ -271,7 +271,7 @@
     }
 
     private List<MemberUpdate> members(CellId cell) {
-        return cell.equals(self.cell()) ? table.facts(f -> true) : directory.members(cell, nowMillis);
+        return cell.equals(self.cell()) ? table.latestUpdates(f -> true) : directory.members(cell, nowMillis);
     }
 
     private long jittered(long millis) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/DefaultEndpointSelector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/DefaultEndpointSelector.java
@@ -25,7 +25,7 @@
 
     private final EndpointTable table;
     private final DataCentreId dataCentre;
-    private final SelectionWaits waits;
+    private final SelectionTimeouts waits;
     private final RandomGenerator random;
 
     /**
@@ -37,7 +37,7 @@
      * @param random breaks ties between equal endpoints
      */
     public DefaultEndpointSelector(
-            EndpointTable table, DataCentreId dataCentre, SelectionWaits waits, RandomGenerator random) {
+            EndpointTable table, DataCentreId dataCentre, SelectionTimeouts waits, RandomGenerator random) {
         this.table = table;
         this.dataCentre = dataCentre;
         this.waits = waits;
@@ -46,7 +46,7 @@
 
     @Override
     public Selection select(SelectionRequest request, long nowMillis) {
-        Optional<DatabaseDeclaration> database = table.use(request.route().database(), nowMillis);
+        Optional<DatabaseDeclaration> database = table.recordUse(request.route().database(), nowMillis);
         if (database.isEmpty()) {
             return new Selection.Unavailable(UNAVAILABLE_RETRY_MILLIS);
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
@@ -49,7 +49,7 @@
      * @param database the database
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public Optional<DatabaseDeclaration> use(DatabaseId database, long nowMillis) {
+    public Optional<DatabaseDeclaration> recordUse(DatabaseId database, long nowMillis) {
         Optional<DatabaseDeclaration> found = configuration.database(database);
         found.ifPresent(d -> usedMillis.put(d.id(), nowMillis));
         return found;
@@ -65,7 +65,7 @@
     }
 
     /** The databases used of late, in order of their names. */
-    public Set<DatabaseId> used() {
+    public Set<DatabaseId> usedDatabases() {
         return new TreeSet<>(usedMillis.keySet());
     }
 
@@ -111,7 +111,7 @@
         EndpointStatus status = hint.status();
         long measured = nowMillis - hint.ageMillis();
         EndpointRow row = rows.get(status.endpoint());
-        if (owners.containsKey(status.endpoint()) && (row == null || row.isOlderThan(status, measured))) {
+        if (owners.containsKey(status.endpoint()) && (row == null || row.isSupersededBy(status, measured))) {
             rows.put(status.endpoint(), new EndpointRow(status, measured, hint.load()));
         }
     }
@@ -133,7 +133,7 @@
      * @param endpoint the endpoint
      */
     public void addLoad(EndpointId endpoint) {
-        rows.computeIfPresent(endpoint, (id, row) -> row.withOneMore());
+        rows.computeIfPresent(endpoint, (id, row) -> row.withIncrementedLoad());
     }
 
     /**
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSystem.java
@@ -92,7 +92,7 @@
 
     private void subscribe(long nowMillis, Outbox out) {
         Map<VmAddress, List<EndpointId>> due = new LinkedHashMap<>();
-        for (DatabaseId database : table.used()) {
+        for (DatabaseId database : table.usedDatabases()) {
             table.declaredEndpoints(database).forEach(e -> subscribeIfDue(e, nowMillis, due));
         }
         due.forEach((home, endpoints) -> out.add(new Action.SendMessage(home, new HintSubscription(endpoints))));
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/CellReporterTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/CellReporterTests.java
@@ -26,8 +26,8 @@
 
     @Test
     void reportsTheLowestVersionOfTheCellAndWhoLags() {
-        reporter.saw(vm("b"), 7);
-        reporter.saw(vm("c"), 5);
+        reporter.recordVersion(vm("b"), 7);
+        reporter.recordVersion(vm("c"), 5);
         readThenWrite(0);
         assertEquals(
                 "{\"cell\":\"r1\",\"dataCentre\":\"recife\",\"reporter\":\"a\",\"members\":3,\"version\":5,"
@@ -41,7 +41,7 @@
         answer(Either.right(new StoredObject("status/cells/r1", 4, update().value())), 2_000);
         tick(true, 3_000);
         assertTrue(actions.isEmpty());
-        reporter.saw(vm("b"), 7);
+        reporter.recordVersion(vm("b"), 7);
         tick(true, 4_000);
         assertEquals(4, update().expectedVersion());
     }
@@ -72,7 +72,7 @@
     }
 
     private void answer(Either<PlatformFailure, StoredObject> result, long nowMillis) {
-        reporter.take(numbers.get(), result, nowMillis);
+        reporter.handleAnswer(numbers.get(), result, nowMillis);
     }
 
     private void tick(boolean first, long nowMillis) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
@@ -30,7 +30,7 @@
     static final long STEP_MILLIS = 50;
     private static final long WATCH_MILLIS = 5_000;
 
-    private final FakePlatform platform = new FakePlatform();
+    private final FakeConfigurationPlatform platform = new FakeConfigurationPlatform();
     private final Map<Integer, Node> nodes = new TreeMap<>();
     private final List<InFlight> messages = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
@@ -53,7 +53,7 @@
         }
     }
 
-    FakePlatform platform() {
+    FakeConfigurationPlatform platform() {
         return platform;
     }
 
@@ -61,7 +61,7 @@
         return nodes.get(index).system;
     }
 
-    long now() {
+    long nowMillis() {
         return nowMillis;
     }
 
@@ -73,14 +73,14 @@
         return nodes.size();
     }
 
-    void disturb(int percent, long delayMillis) {
+    void setLinkFaults(int percent, long delayMillis) {
         dropPercent = percent;
         maxDelayMillis = delayMillis;
     }
 
-    void cut(int index) {
+    void isolate(int index) {
         cutOff.add(index);
-        showMembers();
+        updateViews();
     }
 
     void cutFromPlatform(int index) {
@@ -90,14 +90,14 @@
     void heal() {
         cutOff.clear();
         cutFromPlatform.clear();
-        disturb(0, 0);
-        platform.setUp(true);
-        showMembers();
+        setLinkFaults(0, 0);
+        platform.setAvailable(true);
+        updateViews();
     }
 
     void stop(int index) {
         nodes.remove(index);
-        showMembers();
+        updateViews();
     }
 
     /** Starts a VM, or starts it again with a new incarnation and without any memory. */
@@ -111,7 +111,7 @@
                 "127.0.0.1",
                 1000 + index);
         nodes.put(index, new Node(self));
-        showMembers();
+        updateViews();
     }
 
     void run(long millis) {
@@ -121,7 +121,7 @@
     }
 
     /** Runs until all VMs have the platform's version, and returns the time it took. */
-    long converge(long limitMillis) {
+    long runUntilConverged(long limitMillis) {
         long begin = nowMillis;
         while (!isConverged()) {
             assertTrue(nowMillis - begin <= limitMillis, () -> "not converged: " + versions());
@@ -155,9 +155,9 @@
     }
 
     private boolean isAnswered(Watch watch) {
-        return !platform.isUp()
+        return !platform.isAvailable()
                 || cutFromPlatform.contains(watch.index)
-                || platform.hasAfter(watch.after)
+                || platform.hasChangesAfter(watch.after)
                 || nowMillis - watch.sentMillis >= WATCH_MILLIS;
     }
 
@@ -169,8 +169,8 @@
         var result = cutFromPlatform.contains(watch.index)
                 ? Either.<PlatformFailure, org.hyssopswitch.core.engine.PrefixChanges>left(
                         new PlatformFailure.NoAnswer("config/teams/", "cut off"))
-                : platform.answer(watch.after);
-        node.handle(new Event.PrefixAnswered(watch.call, result));
+                : platform.readChanges(watch.after);
+        node.handle(new Event.PrefixWatchCompleted(watch.call, result));
     }
 
     private void deliver(InFlight message) {
@@ -186,12 +186,12 @@
         }
     }
 
-    private void showMembers() {
+    private void updateViews() {
         for (Map.Entry<Integer, Node> entry : nodes.entrySet()) {
             boolean side = cutOff.contains(entry.getKey());
             entry.getValue()
                     .view
-                    .show(nodes.entrySet().stream()
+                    .setLiveMembers(nodes.entrySet().stream()
                             .filter(e -> cutOff.contains(e.getKey()) == side)
                             .map(e -> e.getValue().self)
                             .toList());
@@ -208,13 +208,13 @@
     private final class Node {
 
         private final VmAddress self;
-        private final FakeView view;
+        private final FakeMembershipView view;
         private final ConfigurationSystem system;
         private final DecisionEngine engine;
 
         Node(VmAddress self) {
             this.self = self;
-            this.view = new FakeView(self);
+            this.view = new FakeMembershipView(self);
             AtomicLong numbers = new AtomicLong();
             this.system = new ConfigurationSystem(
                     view, ConfigurationCluster::decode, settings, numbers::incrementAndGet, random.split());
@@ -236,15 +236,15 @@
                     long delay = STEP_MILLIS + random.nextLong(maxDelayMillis + 1);
                     messages.add(new InFlight(nowMillis + delay, self, send.to(), send.message()));
                 } else if (action instanceof Action.WatchPrefix watch) {
-                    platform.countCall();
+                    platform.recordCall();
                     watches.add(new Watch(self.port() - 1000, self, watch.call(), watch.afterVersion(), nowMillis));
                 } else if (action instanceof Action.ReadObject read) {
                     answers.add(
-                            new Answer(self, new Event.ObjectAnswered(read.call(), platform.readReport(read.path()))));
+                            new Answer(self, new Event.ObjectCallCompleted(read.call(), platform.readReport(read.path()))));
                 } else if (action instanceof Action.UpdateObject update) {
                     answers.add(new Answer(
                             self,
-                            new Event.ObjectAnswered(
+                            new Event.ObjectCallCompleted(
                                     update.call(),
                                     platform.updateReport(update.path(), update.expectedVersion(), update.value()))));
                 } else if (action instanceof Action.ApplyConfiguration apply) {
@@ -258,7 +258,7 @@
             assertEquals(configuration, engine.configuration(), "a version must never revert");
             Map<String, Long> teams = new HashMap<>();
             configuration.teams().forEach((t, c) -> teams.put(t.value(), c.version()));
-            assertEquals(platform.teamsAt(configuration.version()), teams, "version " + configuration.version());
+            assertEquals(platform.teamVersionsAt(configuration.version()), teams, "version " + configuration.version());
         }
     }
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakePlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeConfigurationPlatform.java
@@ -12,7 +12,7 @@
 import org.hyssopswitch.core.engine.StoredObject;
 
 /** The objects below {@code config/teams/}, with all versions that were ever accepted. */
-final class FakePlatform {
+final class FakeConfigurationPlatform {
 
     private final TreeMap<Long, StoredObject> current = new TreeMap<>();
     private final TreeMap<Long, Map<String, Long>> history = new TreeMap<>();
@@ -21,7 +21,7 @@
     private long version;
     private int calls;
 
-    FakePlatform() {
+    FakeConfigurationPlatform() {
         history.put(0L, Map.of());
     }
 
@@ -42,15 +42,15 @@
         return history.lastKey();
     }
 
-    Map<String, Long> teamsAt(long ofVersion) {
+    Map<String, Long> teamVersionsAt(long ofVersion) {
         return history.get(ofVersion);
     }
 
-    void setUp(boolean isUp) {
+    void setAvailable(boolean isUp) {
         up = isUp;
     }
 
-    boolean isUp() {
+    boolean isAvailable() {
         return up;
     }
 
@@ -58,11 +58,11 @@
         return calls;
     }
 
-    void countCall() {
+    void recordCall() {
         calls++;
     }
 
-    boolean hasAfter(long after) {
+    boolean hasChangesAfter(long after) {
         return !current.tailMap(after, false).isEmpty();
     }
 
@@ -91,11 +91,11 @@
     }
 
     /** The text of an object outside the prefix. */
-    String report(String path) {
+    String reportText(String path) {
         return new String(reports.get(path).value(), StandardCharsets.UTF_8);
     }
 
-    Either<PlatformFailure, PrefixChanges> answer(long after) {
+    Either<PlatformFailure, PrefixChanges> readChanges(long after) {
         if (!up) {
             return Either.left(new PlatformFailure.NoAnswer("config/teams/", "down"));
         }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/MembershipSystemTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/MembershipSystemTests.java
@@ -105,10 +105,10 @@
     void givesALeavingMemberNoNewWorkUnlessAllLeave() {
         List<MembershipSystem> all = startCell(2);
         network.run(SETTLE_MILLIS);
-        all.get(0).leave();
+        all.get(0).announceLeaving();
         network.run(3_000);
         assertEquals(List.of(all.get(1).self()), all.get(1).candidates(CELL));
-        all.get(1).leave();
+        all.get(1).announceLeaving();
         network.run(3_000);
         assertEquals(2, all.get(0).candidates(CELL).size());
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/session/DefaultEndpointSelectorTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/session/DefaultEndpointSelectorTests.java
@@ -33,7 +33,7 @@
 
     private static final DatabaseId DATABASE = new DatabaseId("renewals");
     private static final long NOW = 100_000;
-    private static final SelectionWaits WAITS = new SelectionWaits(10, 1_000, 5);
+    private static final SelectionTimeouts WAITS = new SelectionTimeouts(10, 1_000, 5);
 
     private final EndpointTable table = new EndpointTable();
     private final DefaultEndpointSelector selector =
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedCluster.java
@@ -262,7 +262,7 @@
             boolean unanswered = result.isLeft() && result.getLeft() instanceof PlatformFailure.NoAnswer;
             scheduleAfter(
                     unanswered ? 1_000 : platform.delayMillis,
-                    () -> vm.deliver(new Event.ObjectAnswered(callNumber, result), this::now));
+                    () -> vm.deliver(new Event.ObjectCallCompleted(callNumber, result), this::now));
         });
     }
 
@@ -296,7 +296,7 @@
             SimulatedVm vm, Action.CallEndpoint call, Either<PlatformFailure, ControlReply> result, long delayMillis) {
         scheduleAfter(
                 delayMillis,
-                () -> vm.deliver(new Event.EndpointAnswered(call.call(), call.endpoint(), result), this::now));
+                () -> vm.deliver(new Event.EndpointCallCompleted(call.call(), call.endpoint(), result), this::now));
     }
 
     private record ScheduledTask(long atMillis, long sequence, Runnable work) {}
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
@@ -124,7 +124,7 @@
      * Makes a control call.
      *
      * @param call the call
-     * @param callback receives the {@link Event.EndpointAnswered}
+     * @param callback receives the {@link Event.EndpointCallCompleted}
      */
     public void call(Action.CallEndpoint call, Consumer<Event> callback) {
         ControlConnections connections = controlConnections.get(call.endpoint());
@@ -184,7 +184,7 @@
     private void answer(
             Action.CallEndpoint call, Either<ControlFailure, ControlReply> result, Consumer<Event> callback) {
         result.forEach(r -> Option.of(homes.get(call.endpoint())).forEach(h -> h.updateStatus(r.status())));
-        callback.accept(new Event.EndpointAnswered(call.call(), call.endpoint(), result));
+        callback.accept(new Event.EndpointCallCompleted(call.call(), call.endpoint(), result));
     }
 
     /** Opens the homes that the placement assigns to this VM, and drains the others. */
