--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/configuration/ConfigurationSpread.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/configuration/ConfigurationSpread.java
@@ -162,7 +162,7 @@
             return;
         }
         PrefixChanges changes = new PrefixChanges(object.version(), changed ? List.of(object) : List.of());
-        handle(watch.by(), new Event.PrefixAnswered(watch.call(), Either.right(changes)));
+        handle(watch.by(), new Event.PrefixWatchCompleted(watch.call(), Either.right(changes)));
     }
 
     private void handle(VmAddress to, Event event) {
@@ -183,7 +183,7 @@
             calls++;
             handle(
                     self,
-                    new Event.ObjectAnswered(
+                    new Event.ObjectCallCompleted(
                             update.call(),
                             Either.right(
                                     new StoredObject(update.path(), update.expectedVersion() + 1, update.value()))));
@@ -191,7 +191,7 @@
     }
 
     private static Event answer(long call, String path) {
-        return new Event.ObjectAnswered(
+        return new Event.ObjectCallCompleted(
                 call, Either.right(new StoredObject(path, 0, "".getBytes(StandardCharsets.UTF_8))));
     }
 
--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetEndpoints.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetEndpoints.java
@@ -50,11 +50,11 @@
 
     Event answer(Action.CallEndpoint call, long nowMillis) {
         if (!answers(call.endpoint())) {
-            return new Event.EndpointAnswered(
+            return new Event.EndpointCallCompleted(
                     call.call(), call.endpoint(), Either.left(new PlatformFailure.NoAnswer("endpoint", "timeout")));
         }
         boolean accepted = perform(call.endpoint(), call.request());
-        return new Event.EndpointAnswered(
+        return new Event.EndpointCallCompleted(
                 call.call(), call.endpoint(), Either.right(new ControlReply(accepted, status(call, nowMillis))));
     }
 
--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetPlatform.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetPlatform.java
@@ -43,11 +43,11 @@
     /** Answers a call other than a watch; empty for actions that are none. */
     Optional<Event> answer(Action action) {
         if (action instanceof Action.ReadObject read) {
-            return Optional.of(new Event.ObjectAnswered(
+            return Optional.of(new Event.ObjectCallCompleted(
                     read.call(), up ? Either.right(find(read.path())) : noAnswer(read.path())));
         }
         if (action instanceof Action.UpdateObject update) {
-            return Optional.of(new Event.ObjectAnswered(update.call(), update(update)));
+            return Optional.of(new Event.ObjectCallCompleted(update.call(), update(update)));
         }
         if (action instanceof Action.ListVms && up) {
             return Optional.of(new Event.VmsListed(listed, List.of()));
@@ -58,7 +58,7 @@
     /** Answers a watch when there is something to tell. */
     Optional<Event> answer(Action.WatchPrefix watch, boolean timedOut) {
         if (!up) {
-            return Optional.of(new Event.PrefixAnswered(watch.call(), noAnswer(watch.prefix())));
+            return Optional.of(new Event.PrefixWatchCompleted(watch.call(), noAnswer(watch.prefix())));
         }
         List<StoredObject> changed = new ArrayList<>();
         for (StoredObject object : objects.tailMap(watch.prefix(), true).values()) {
@@ -73,7 +73,8 @@
             return Optional.empty();
         }
         changed.sort((a, b) -> Long.compare(a.version(), b.version()));
-        return Optional.of(new Event.PrefixAnswered(watch.call(), Either.right(new PrefixChanges(version, changed))));
+        return Optional.of(
+                new Event.PrefixWatchCompleted(watch.call(), Either.right(new PrefixChanges(version, changed))));
     }
 
     private Either<PlatformFailure, StoredObject> update(Action.UpdateObject update) {
--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetVm.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetVm.java
@@ -7,7 +7,7 @@
 import org.hyssopswitch.core.configuration.ConfigurationSettings;
 import org.hyssopswitch.core.configuration.ConfigurationSystem;
 import org.hyssopswitch.core.engine.Action;
-import org.hyssopswitch.core.engine.CallNumbers;
+import org.hyssopswitch.core.engine.CallIdSequence;
 import org.hyssopswitch.core.engine.DecisionEngine;
 import org.hyssopswitch.core.engine.DecisionSystem;
 import org.hyssopswitch.core.engine.Event;
@@ -30,7 +30,7 @@
 
     FleetVm(VmAddress self, List<VmAddress> seeds, SplittableRandom random) {
         this.self = self;
-        CallNumbers numbers = new CallNumbers();
+        CallIdSequence numbers = new CallIdSequence();
         this.cluster = ClusterSystems.create(self, seeds, numbers, random.split(), e -> 0);
         this.configurations = new ConfigurationSystem(
                 cluster.membership(),
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
@@ -125,11 +125,11 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.PrefixAnswered answered && watch.take(answered.call())) {
+        if (event instanceof Event.PrefixWatchCompleted answered && watch.take(answered.call())) {
             answered.result()
                     .peek(changes -> takeChanges(changes, nowMillis, out))
                     .peekLeft(failure -> watch.failed(failure, nowMillis));
-        } else if (event instanceof Event.ObjectAnswered answered) {
+        } else if (event instanceof Event.ObjectCallCompleted answered) {
             reporter.take(answered.call(), answered.result(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             receive(received.from(), received.message(), nowMillis, out);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/ControlRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/ControlRequest.java
@@ -10,20 +10,20 @@
 
     /**
      * Asks the endpoint to accept a term and to refuse all work of lower terms. An endpoint accepts a term from one
-     * orderer only; the same orderer may repeat the call.
+     * coordinator only; the same coordinator may repeat the call.
      *
      * @param term the term
-     * @param orderer who orders the promotion; names a VM and its incarnation
+     * @param coordinator who orders the promotion; names a VM and its incarnation
      */
-    record Fence(long term, String orderer) implements ControlRequest {}
+    record Fence(long term, String coordinator) implements ControlRequest {}
 
     /**
-     * Makes the endpoint the primary of a term that it has accepted from the same orderer.
+     * Makes the endpoint the primary of a term that it has accepted from the same coordinator.
      *
      * @param term the term
-     * @param orderer who orders the promotion
+     * @param coordinator who orders the promotion
      */
-    record Promote(long term, String orderer) implements ControlRequest {}
+    record Promote(long term, String coordinator) implements ControlRequest {}
 
     /**
      * Makes the endpoint a replica of the primary of a term.
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/Event.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/Event.java
@@ -31,7 +31,7 @@
      * @param call number given in the action
      * @param result the object, or why the call failed
      */
-    record ObjectAnswered(long call, Either<PlatformFailure, StoredObject> result) implements Event {}
+    record ObjectCallCompleted(long call, Either<PlatformFailure, StoredObject> result) implements Event {}
 
     /**
      * A watch of a prefix ended.
@@ -39,7 +39,7 @@
      * @param call number given in the action
      * @param result the changed objects, or why the call failed
      */
-    record PrefixAnswered(long call, Either<PlatformFailure, PrefixChanges> result) implements Event {}
+    record PrefixWatchCompleted(long call, Either<PlatformFailure, PrefixChanges> result) implements Event {}
 
     /**
      * The platform's list of VMs was read.
@@ -56,6 +56,6 @@
      * @param endpoint the endpoint
      * @param result what the endpoint answered, or why the call failed
      */
-    record EndpointAnswered(long call, EndpointId endpoint, Either<? extends Failure, ControlReply> result)
+    record EndpointCallCompleted(long call, EndpointId endpoint, Either<? extends Failure, ControlReply> result)
             implements Event {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ClusterSystems.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ClusterSystems.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.ToIntFunction;
 import java.util.random.RandomGenerator;
-import org.hyssopswitch.core.engine.CallNumbers;
+import org.hyssopswitch.core.engine.CallIdSequence;
 import org.hyssopswitch.core.engine.DecisionSystem;
 import org.hyssopswitch.core.identity.EndpointId;
 import org.hyssopswitch.core.identity.VmAddress;
@@ -15,7 +15,7 @@
 import org.hyssopswitch.core.session.EndpointSelector;
 import org.hyssopswitch.core.session.EndpointTable;
 import org.hyssopswitch.core.session.HintSystem;
-import org.hyssopswitch.core.session.SelectionWaits;
+import org.hyssopswitch.core.session.SelectionTimeouts;
 
 /**
  * The systems of a VM that deal with membership, placement, sessions and failover, wired together.
@@ -56,7 +56,7 @@
     public static ClusterSystems create(
             VmAddress self,
             List<VmAddress> seeds,
-            CallNumbers numbers,
+            CallIdSequence numbers,
             RandomGenerator random,
             ToIntFunction<EndpointId> load) {
         FailoverSettings settings = FailoverSettings.DEFAULT;
@@ -77,7 +77,7 @@
     public static ClusterSystems create(
             VmAddress self,
             List<VmAddress> seeds,
-            CallNumbers numbers,
+            CallIdSequence numbers,
             RandomGenerator random,
             ToIntFunction<EndpointId> load,
             SuspicionPolicy policy,
@@ -95,7 +95,7 @@
         MajorityCommitConfirmer confirmer = new MajorityCommitConfirmer(router, endpoints);
         SessionFloorSystem floors = new SessionFloorSystem(self, homes, endpoints, router, confirmer, numbers);
         EndpointSelector selector =
-                new DefaultEndpointSelector(endpoints, self.dataCentre(), SelectionWaits.DEFAULT, random);
+                new DefaultEndpointSelector(endpoints, self.dataCentre(), SelectionTimeouts.DEFAULT, random);
         List<DecisionSystem> systems = List.of(view, router, monitor, promotion, confirmer, floors, hints);
         return new ClusterSystems(view, homes, endpoints, selector, confirmer, floors, promotion, systems);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
@@ -22,10 +22,11 @@
     /** Builds the message that carries a request. */
     static ControlCall of(long id, EndpointId endpoint, ControlRequest request, long timeoutMillis) {
         if (request instanceof ControlRequest.Fence fence) {
-            return new ControlCall(id, endpoint, ControlKind.FENCE, fence.term(), 0, fence.orderer(), timeoutMillis);
+            return new ControlCall(
+                    id, endpoint, ControlKind.FENCE, fence.term(), 0, fence.coordinator(), timeoutMillis);
         }
         if (request instanceof ControlRequest.Promote promote) {
-            String orderer = promote.orderer();
+            String orderer = promote.coordinator();
             return new ControlCall(id, endpoint, ControlKind.PROMOTE, promote.term(), 0, orderer, timeoutMillis);
         }
         if (request instanceof ControlRequest.Follow follow) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlRouter.java
@@ -84,7 +84,7 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.EndpointAnswered answered) {
+        if (event instanceof Event.EndpointCallCompleted answered) {
             onEndpoint(answered, nowMillis, out);
         } else if (event instanceof Event.LinkFailed failed) {
             List.copyOf(pending.entrySet()).stream()
@@ -117,7 +117,7 @@
         out.add(new Action.CallEndpoint(number, call.endpoint(), call.request(), call.timeoutMillis()));
     }
 
-    private void onEndpoint(Event.EndpointAnswered answered, long nowMillis, Outbox out) {
+    private void onEndpoint(Event.EndpointCallCompleted answered, long nowMillis, Outbox out) {
         ControlOutcome outcome = ControlOutcome.of(answered.result().map(r -> r));
         // awaits tell the position of a replica far more often than polls do
         outcome.status().ifPresent(status -> endpoints.observeApplied(status.endpoint(), status.applied()));
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/PromotionSystem.java
@@ -101,7 +101,7 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.ObjectAnswered answered) {
+        if (event instanceof Event.ObjectCallCompleted answered) {
             promotions.values().forEach(p -> p.answered(answered, nowMillis, out));
         }
     }
@@ -191,7 +191,7 @@
             claim.start(out);
         }
 
-        private void answered(Event.ObjectAnswered answered, long nowMillis, Outbox out) {
+        private void answered(Event.ObjectCallCompleted answered, long nowMillis, Outbox out) {
             if (claim != null) {
                 boolean lapsed = holderSeenMillis != NOT_DUE && nowMillis - holderSeenMillis >= LEASE_RESPECT_MILLIS;
                 claim.answered(answered.call(), answered.result(), lapsed, out);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/SessionFloorSystem.java
@@ -70,7 +70,7 @@
      * @param out takes the actions to perform
      */
     public void request(long ticket, DatabaseId database, long deadlineMillis, long nowMillis, Outbox out) {
-        endpoints.use(database, nowMillis);
+        endpoints.recordUse(database, nowMillis);
         Batch batch = batches.computeIfAbsent(database, d -> new Batch());
         batch.waiting.put(ticket, deadlineMillis);
         send(database, batch, nowMillis, out);
@@ -110,7 +110,7 @@
         }
         batch.retryMillis = nowMillis + RETRY_MILLIS;
         Optional<EndpointId> primary = endpoints
-                .use(database, nowMillis)
+                .recordUse(database, nowMillis)
                 .flatMap(endpoints::primary)
                 .map(row -> row.status().endpoint());
         Optional<VmAddress> home = primary.flatMap(endpoints::declaration)
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/LimitSystem.java
@@ -70,7 +70,7 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.ObjectAnswered answered) {
+        if (event instanceof Event.ObjectCallCompleted answered) {
             ownership.handle(answered, nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             receive(received.from(), received.message(), nowMillis, loopBack(nowMillis, out));
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/limit/SlotOwnership.java
@@ -154,7 +154,7 @@
         }
     }
 
-    void handle(Event.ObjectAnswered event, long nowMillis) {
+    void handle(Event.ObjectCallCompleted event, long nowMillis) {
         Call call = calls.remove(event.call());
         if (call == null) {
             return;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellDirectory.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellDirectory.java
@@ -24,13 +24,13 @@
     private static final int MAX_CELLS = 128;
     private static final int MAX_CONTACTS = MemberTable.MAX_MEMBERS;
     private static final long PULL_PERIOD_MILLIS = 1_000;
-    private static final long UNUSED_AFTER_MILLIS = 60_000;
-    private static final long LINK_FAILURE_MILLIS = 1_000;
+    private static final long CELL_IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final long LINK_FAILURE_SUSPICION_MILLIS = 1_000;
 
     private final RandomGenerator random;
     private final Map<CellId, Cell> cells = new LinkedHashMap<>();
     private final Map<CellId, Map<VmId, VmAddress>> contacts = new HashMap<>();
-    private final Map<VmAddress, Long> linkFailures = new HashMap<>();
+    private final Map<VmAddress, Long> suspectedUntilMillis = new HashMap<>();
     private long version;
 
     CellDirectory(RandomGenerator random) {
@@ -54,10 +54,10 @@
 
     /** Keeps as contacts only VMs of a list; cells without any listed VM keep theirs. */
     void retainListed(Collection<VmAddress> listed) {
-        Map<CellId, Map<VmId, VmAddress>> fresh = new HashMap<>();
-        listed.forEach(
-                a -> fresh.computeIfAbsent(a.cell(), c -> new TreeMap<>()).put(a.vm(), a));
-        fresh.forEach((cell, vms) -> {
+        Map<CellId, Map<VmId, VmAddress>> listedByCell = new HashMap<>();
+        listed.forEach(a ->
+                listedByCell.computeIfAbsent(a.cell(), c -> new TreeMap<>()).put(a.vm(), a));
+        listedByCell.forEach((cell, vms) -> {
             Map<VmId, VmAddress> known = contacts.computeIfAbsent(cell, c -> new TreeMap<>());
             known.keySet().retainAll(vms.keySet());
             vms.values().forEach(this::addContact);
@@ -70,7 +70,7 @@
             cells.remove(cells.keySet().iterator().next());
         }
         Cell cell = cells.computeIfAbsent(id, c -> new Cell());
-        cell.usedMillis = nowMillis;
+        cell.lastUsedMillis = nowMillis;
         if (!cell.members.isEmpty()) {
             return cell.members;
         }
@@ -80,11 +80,11 @@
     }
 
     boolean isSuspected(VmAddress address) {
-        return linkFailures.containsKey(address);
+        return suspectedUntilMillis.containsKey(address);
     }
 
     void markLinkFailed(VmAddress address, long nowMillis) {
-        linkFailures.put(address, nowMillis + LINK_FAILURE_MILLIS);
+        suspectedUntilMillis.put(address, nowMillis + LINK_FAILURE_SUSPICION_MILLIS);
         version++;
     }
 
@@ -95,19 +95,19 @@
     }
 
     void tick(long nowMillis, Outbox out) {
-        cells.values().removeIf(cell -> nowMillis - cell.usedMillis > UNUSED_AFTER_MILLIS);
-        if (linkFailures.values().removeIf(until -> nowMillis >= until)) {
+        cells.values().removeIf(cell -> nowMillis - cell.lastUsedMillis > CELL_IDLE_TIMEOUT_MILLIS);
+        if (suspectedUntilMillis.values().removeIf(until -> nowMillis >= until)) {
             version++;
         }
         cells.forEach((id, cell) -> {
             if (nowMillis >= cell.nextPullMillis) {
                 cell.nextPullMillis = nowMillis + jittered(PULL_PERIOD_MILLIS);
-                pull(id, cell, out);
+                requestView(id, cell, out);
             }
         });
     }
 
-    void onReply(VmAddress from, CellViewReply reply) {
+    void applyView(VmAddress from, CellViewReply reply) {
         Cell cell = cells.get(reply.cell());
         if (cell == null || !from.cell().equals(reply.cell()) || reply.digest() == 0) {
             return;
@@ -121,7 +121,7 @@
         }
     }
 
-    private void pull(CellId id, Cell cell, Outbox out) {
+    private void requestView(CellId id, Cell cell, Outbox out) {
         List<VmAddress> known =
                 new ArrayList<>(contacts.getOrDefault(id, Map.of()).values());
         if (!known.isEmpty()) {
@@ -137,7 +137,7 @@
     private static final class Cell {
         private List<MemberUpdate> members = List.of();
         private long digest;
-        private long usedMillis;
+        private long lastUsedMillis;
         private long nextPullMillis;
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatDetector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatFailureDetector.java
@@ -12,7 +12,7 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /** Sends heartbeats to members of the own cell in random order and suspects those that do not answer. */
-final class HeartbeatDetector {
+final class HeartbeatFailureDetector {
 
     private static final int INDIRECT_PROBES = 2;
     private static final int MAX_RELAYED_PROBES = 256;
@@ -22,12 +22,12 @@
     private final MembershipSettings settings;
     private final RandomGenerator random;
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
-    private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
+    private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
     private final List<VmAddress> rotation = new ArrayList<>();
     private long lastSequence;
     private long nextRoundMillis;
 
-    HeartbeatDetector(MemberTable table, VmAddress self, MembershipSettings settings, RandomGenerator random) {
+    HeartbeatFailureDetector(MemberTable table, VmAddress self, MembershipSettings settings, RandomGenerator random) {
         this.table = table;
         this.self = self;
         this.settings = settings;
@@ -35,7 +35,7 @@
     }
 
     void tick(long nowMillis, Outbox out) {
-        List.copyOf(probes.entrySet()).forEach(e -> age(e.getKey(), e.getValue(), nowMillis, out));
+        List.copyOf(probes.entrySet()).forEach(e -> checkTimeout(e.getKey(), e.getValue(), nowMillis, out));
         if (nowMillis >= nextRoundMillis) {
             nextRoundMillis = nowMillis + settings.periodMillis();
             for (int i = 0; i < settings.fanout() && refillRotation(); i++) {
@@ -45,7 +45,7 @@
     }
 
     /** Sends a heartbeat outside the rotation, for example to a VM that is not known to be live. */
-    void greet(VmAddress target, Outbox out) {
+    void sendHeartbeat(VmAddress target, Outbox out) {
         out.add(new Action.SendMessage(target, new MembershipPing(++lastSequence, table.updatesFor(target))));
     }
 
@@ -55,7 +55,7 @@
 
     void onAck(MembershipAck ack, Outbox out) {
         probes.remove(ack.sequence());
-        Relayed origin = relayed.remove(ack.sequence());
+        RelayedProbe origin = relayedProbes.remove(ack.sequence());
         if (origin != null) {
             VmAddress requester = origin.requester();
             out.add(new Action.SendMessage(
@@ -64,39 +64,39 @@
     }
 
     void onProbeRequest(VmAddress from, MembershipProbeRequest request, Outbox out) {
-        if (relayed.size() >= MAX_RELAYED_PROBES) {
-            relayed.remove(relayed.keySet().iterator().next());
+        if (relayedProbes.size() >= MAX_RELAYED_PROBES) {
+            relayedProbes.remove(relayedProbes.keySet().iterator().next());
         }
-        greet(request.target(), out);
-        relayed.put(lastSequence, new Relayed(from, request.sequence()));
+        sendHeartbeat(request.target(), out);
+        relayedProbes.put(lastSequence, new RelayedProbe(from, request.sequence()));
     }
 
     /** Drops the outstanding heartbeats to a VM that has shown itself alive. */
-    void onSeen(VmAddress from) {
+    void cancelProbes(VmAddress from) {
         probes.values().removeIf(probe -> probe.target().equals(from));
     }
 
     private void probe(VmAddress target, long nowMillis, Outbox out) {
         boolean outstanding = probes.values().stream().anyMatch(p -> p.target().equals(target));
         if (!outstanding) {
-            greet(target, out);
+            sendHeartbeat(target, out);
             probes.put(lastSequence, new Probe(target, nowMillis, false));
         }
     }
 
-    private void age(long sequence, Probe probe, long nowMillis, Outbox out) {
+    private void checkTimeout(long sequence, Probe probe, long nowMillis, Outbox out) {
         long waited = nowMillis - probe.sentMillis();
         if (!probe.indirect() && waited >= settings.probeTimeoutMillis()) {
             probes.put(sequence, new Probe(probe.target(), nowMillis, true));
-            askOthers(sequence, probe.target(), out);
+            requestIndirectProbes(sequence, probe.target(), out);
         } else if (probe.indirect() && waited >= settings.indirectTimeoutMillis()) {
             probes.remove(sequence);
             table.suspect(probe.target(), nowMillis);
         }
     }
 
-    private void askOthers(long sequence, VmAddress target, Outbox out) {
-        List<VmAddress> helpers = others();
+    private void requestIndirectProbes(long sequence, VmAddress target, Outbox out) {
+        List<VmAddress> helpers = otherLiveMembers();
         helpers.remove(target);
         shuffle(helpers);
         helpers.stream()
@@ -106,15 +106,15 @@
 
     private boolean refillRotation() {
         if (rotation.isEmpty()) {
-            rotation.addAll(others());
+            rotation.addAll(otherLiveMembers());
             shuffle(rotation);
         }
         return !rotation.isEmpty();
     }
 
-    private List<VmAddress> others() {
+    private List<VmAddress> otherLiveMembers() {
         List<VmAddress> result = new ArrayList<>();
-        table.facts(MemberUpdate::isLive).forEach(f -> result.add(f.address()));
+        table.latestUpdates(MemberUpdate::isLive).forEach(u -> result.add(u.address()));
         result.remove(self);
         return result;
     }
@@ -125,5 +125,5 @@
 
     private record Probe(VmAddress target, long sentMillis, boolean indirect) {}
 
-    private record Relayed(VmAddress requester, long sequence) {}
+    private record RelayedProbe(VmAddress requester, long sequence) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
@@ -3,28 +3,28 @@
 /** A row of the member table. */
 final class Member {
 
-    private MemberUpdate fact;
-    private long changedMillis;
-    private int transmissions;
+    private MemberUpdate latestUpdate;
+    private long stateChangedMillis;
+    private int remainingTransmissions;
     private boolean listed;
     private long linkFailedUntilMillis = Long.MIN_VALUE;
 
-    Member(MemberUpdate fact, long nowMillis, int transmissions) {
-        this.fact = fact;
-        this.changedMillis = nowMillis;
-        this.transmissions = transmissions;
+    Member(MemberUpdate latestUpdate, long nowMillis, int remainingTransmissions) {
+        this.latestUpdate = latestUpdate;
+        this.stateChangedMillis = nowMillis;
+        this.remainingTransmissions = remainingTransmissions;
     }
 
-    MemberUpdate fact() {
-        return fact;
+    MemberUpdate latestUpdate() {
+        return latestUpdate;
     }
 
-    long changedMillis() {
-        return changedMillis;
+    long stateChangedMillis() {
+        return stateChangedMillis;
     }
 
-    int transmissions() {
-        return transmissions;
+    int remainingTransmissions() {
+        return remainingTransmissions;
     }
 
     boolean isListed() {
@@ -32,23 +32,23 @@
     }
 
     boolean isSuspected() {
-        return fact.state() == MemberState.SUSPECT || linkFailedUntilMillis != Long.MIN_VALUE;
+        return latestUpdate.state() == MemberState.SUSPECT || linkFailedUntilMillis != Long.MIN_VALUE;
     }
 
-    void change(MemberUpdate next, long nowMillis, int sends) {
-        if (next.state() != fact.state()) {
-            changedMillis = nowMillis;
+    void applyUpdate(MemberUpdate next, long nowMillis, int newTransmissions) {
+        if (next.state() != latestUpdate.state()) {
+            stateChangedMillis = nowMillis;
         }
-        if (next.address().incarnation() != fact.address().incarnation()) {
+        if (next.address().incarnation() != latestUpdate.address().incarnation()) {
             listed = false;
             linkFailedUntilMillis = Long.MIN_VALUE;
         }
-        fact = next;
-        transmissions = sends;
+        latestUpdate = next;
+        remainingTransmissions = newTransmissions;
     }
 
-    void transmitted() {
-        transmissions--;
+    void countTransmission() {
+        remainingTransmissions--;
     }
 
     void markListed() {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberTable.java
@@ -18,14 +18,14 @@
     static final int MAX_MEMBERS = 48;
     static final int MAX_UPDATES_PER_MESSAGE = 6;
 
-    private static final int TRANSMISSIONS_PER_DOUBLING = 3;
-    private static final long DEAD_KEPT_MILLIS = 60_000;
-    private static final long LINK_FAILURE_MILLIS = 1_000;
-    private static final int MAX_GONE = 1_024;
+    private static final int TRANSMISSIONS_PER_SIZE_DOUBLING = 3;
+    private static final long DEAD_RETENTION_MILLIS = 60_000;
+    private static final long LINK_FAILURE_SUSPICION_MILLIS = 1_000;
+    private static final int MAX_GONE_INCARNATIONS = 1_024;
 
     private final VmAddress self;
     private final Map<VmId, Member> members = new TreeMap<>();
-    private final Map<VmId, Long> gone = new LinkedHashMap<>();
+    private final Map<VmId, Long> goneIncarnations = new LinkedHashMap<>();
     private long version;
 
     MemberTable(VmAddress self) {
@@ -46,12 +46,15 @@
     }
 
     /** The facts about members that satisfy a condition, in order of their names. */
-    List<MemberUpdate> facts(Predicate<MemberUpdate> condition) {
-        return members.values().stream().map(Member::fact).filter(condition).toList();
+    List<MemberUpdate> latestUpdates(Predicate<MemberUpdate> condition) {
+        return members.values().stream()
+                .map(Member::latestUpdate)
+                .filter(condition)
+                .toList();
     }
 
     boolean isGone(VmId vm, long incarnation) {
-        return incarnation <= gone.getOrDefault(vm, Long.MIN_VALUE);
+        return incarnation <= goneIncarnations.getOrDefault(vm, Long.MIN_VALUE);
     }
 
     /** Takes an update that says more than what is known. */
@@ -61,7 +64,7 @@
             return;
         }
         if (update.state() == MemberState.GONE) {
-            addGone(address.vm(), address.incarnation());
+            recordGone(address.vm(), address.incarnation());
         }
         if (address.vm().equals(self.vm())) {
             mergeSelf(update, nowMillis);
@@ -76,31 +79,31 @@
     }
 
     /** Notes that a message of a VM arrived, which shows that its incarnation has started. */
-    void seen(VmAddress from, long nowMillis) {
+    void recordContact(VmAddress from, long nowMillis) {
         merge(new MemberUpdate(from, MemberState.ALIVE, 0, false), nowMillis);
         find(from.vm()).ifPresent(row -> clearLinkFailure(row, Long.MAX_VALUE));
     }
 
     void suspect(VmAddress address, long nowMillis) {
-        escalate(address, MemberState.SUSPECT, nowMillis);
+        raiseState(address, MemberState.SUSPECT, nowMillis);
     }
 
     void markLinkFailed(VmAddress address, long nowMillis) {
         find(address.vm())
-                .filter(row -> row.fact().address().equals(address) && !address.equals(self))
+                .filter(row -> row.latestUpdate().address().equals(address) && !address.equals(self))
                 .ifPresent(row -> {
-                    row.markLinkFailed(nowMillis + LINK_FAILURE_MILLIS);
+                    row.markLinkFailed(nowMillis + LINK_FAILURE_SUSPICION_MILLIS);
                     version++;
                 });
     }
 
     void markLeaving(VmAddress address, long nowMillis) {
         find(address.vm())
-                .map(Member::fact)
-                .filter(fact -> fact.address().incarnation() == address.incarnation() && !fact.leaving())
-                .ifPresent(fact -> change(
+                .map(Member::latestUpdate)
+                .filter(latest -> latest.address().incarnation() == address.incarnation() && !latest.leaving())
+                .ifPresent(latest -> change(
                         members.get(address.vm()),
-                        new MemberUpdate(fact.address(), fact.state(), fact.counter(), true),
+                        new MemberUpdate(latest.address(), latest.state(), latest.counter(), true),
                         nowMillis));
     }
 
@@ -108,26 +111,26 @@
     void expire(long nowMillis, long suspicionMillis) {
         for (Member row : List.copyOf(members.values())) {
             clearLinkFailure(row, nowMillis);
-            MemberState state = row.fact().state();
-            if (state == MemberState.SUSPECT && nowMillis - row.changedMillis() >= suspicionMillis) {
-                escalate(row.fact().address(), MemberState.DEAD, nowMillis);
+            MemberState state = row.latestUpdate().state();
+            if (state == MemberState.SUSPECT && nowMillis - row.stateChangedMillis() >= suspicionMillis) {
+                raiseState(row.latestUpdate().address(), MemberState.DEAD, nowMillis);
             }
-            if (!row.fact().isLive() && nowMillis - row.changedMillis() > DEAD_KEPT_MILLIS) {
-                members.remove(row.fact().address().vm());
+            if (!row.latestUpdate().isLive() && nowMillis - row.stateChangedMillis() > DEAD_RETENTION_MILLIS) {
+                members.remove(row.latestUpdate().address().vm());
                 version++;
             }
         }
     }
 
     /** Declares gone the dead members that a list once held and holds no more. */
-    void confirmGone(Predicate<VmAddress> isListed, long nowMillis) {
+    void applyVmList(Predicate<VmAddress> isListed, long nowMillis) {
         for (Member row : List.copyOf(members.values())) {
-            VmAddress address = row.fact().address();
+            VmAddress address = row.latestUpdate().address();
             if (isListed.test(address)) {
                 row.markListed();
-            } else if (row.fact().state() == MemberState.DEAD && row.isListed()) {
-                addGone(address.vm(), address.incarnation());
-                escalate(address, MemberState.GONE, nowMillis);
+            } else if (row.latestUpdate().state() == MemberState.DEAD && row.isListed()) {
+                recordGone(address.vm(), address.incarnation());
+                raiseState(address, MemberState.GONE, nowMillis);
             }
         }
     }
@@ -136,44 +139,44 @@
     List<MemberUpdate> updatesFor(VmAddress recipient) {
         List<MemberUpdate> updates = new ArrayList<>();
         find(recipient.vm())
-                .filter(row -> row.fact().state() != MemberState.ALIVE)
-                .ifPresent(row -> updates.add(row.fact()));
-        List<Member> fresh = members.values().stream()
-                .filter(row -> row.transmissions() > 0)
-                .sorted(Comparator.comparingInt(Member::transmissions).reversed())
+                .filter(row -> row.latestUpdate().state() != MemberState.ALIVE)
+                .ifPresent(row -> updates.add(row.latestUpdate()));
+        List<Member> pending = members.values().stream()
+                .filter(row -> row.remainingTransmissions() > 0)
+                .sorted(Comparator.comparingInt(Member::remainingTransmissions).reversed())
                 .limit(MAX_UPDATES_PER_MESSAGE - updates.size())
                 .toList();
-        fresh.forEach(row -> {
-            row.transmitted();
-            updates.add(row.fact());
+        pending.forEach(row -> {
+            row.countTransmission();
+            updates.add(row.latestUpdate());
         });
         return updates;
     }
 
     private void mergeSelf(MemberUpdate update, long nowMillis) {
         Member own = members.get(self.vm());
-        MemberUpdate fact = own.fact();
-        boolean same = update.address().incarnation() == self.incarnation();
-        if (same && update.state() != MemberState.ALIVE && update.counter() >= fact.counter()) {
-            change(own, new MemberUpdate(self, MemberState.ALIVE, update.counter() + 1, fact.leaving()), nowMillis);
+        MemberUpdate latest = own.latestUpdate();
+        boolean sameIncarnation = update.address().incarnation() == self.incarnation();
+        if (sameIncarnation && update.state() != MemberState.ALIVE && update.counter() >= latest.counter()) {
+            change(own, new MemberUpdate(self, MemberState.ALIVE, update.counter() + 1, latest.leaving()), nowMillis);
         }
         if (update.address().incarnation() > self.incarnation()) {
-            addGone(self.vm(), self.incarnation());
+            recordGone(self.vm(), self.incarnation());
         }
     }
 
     private void mergeRow(Member row, MemberUpdate update, long nowMillis) {
-        MemberUpdate fact = row.fact();
-        long known = fact.address().incarnation();
+        MemberUpdate latest = row.latestUpdate();
+        long known = latest.address().incarnation();
         long incoming = update.address().incarnation();
         if (incoming > known) {
-            addGone(fact.address().vm(), known);
+            recordGone(latest.address().vm(), known);
             change(row, update, nowMillis);
-        } else if (incoming == known && update.supersedes(fact)) {
-            boolean leaving = fact.leaving() || update.leaving();
-            change(row, new MemberUpdate(fact.address(), update.state(), update.counter(), leaving), nowMillis);
+        } else if (incoming == known && update.supersedes(latest)) {
+            boolean leaving = latest.leaving() || update.leaving();
+            change(row, new MemberUpdate(latest.address(), update.state(), update.counter(), leaving), nowMillis);
         } else if (incoming == known && update.leaving()) {
-            markLeaving(fact.address(), nowMillis);
+            markLeaving(latest.address(), nowMillis);
         }
     }
 
@@ -182,28 +185,31 @@
             return;
         }
         if (members.size() >= MAX_MEMBERS) {
-            members.values().removeIf(row -> !row.fact().isLive());
+            members.values().removeIf(row -> !row.latestUpdate().isLive());
         }
         if (members.size() < MAX_MEMBERS) {
-            members.put(update.address().vm(), new Member(update, nowMillis, transmissions()));
+            members.put(update.address().vm(), new Member(update, nowMillis, transmissionsPerUpdate()));
             version++;
         }
     }
 
-    private void escalate(VmAddress address, MemberState state, long nowMillis) {
+    private void raiseState(VmAddress address, MemberState state, long nowMillis) {
         find(address.vm())
-                .filter(row -> row.fact().address().equals(address)
-                        && row.fact().state().compareTo(state) < 0
+                .filter(row -> row.latestUpdate().address().equals(address)
+                        && row.latestUpdate().state().compareTo(state) < 0
                         && !address.equals(self))
                 .ifPresent(row -> change(
                         row,
                         new MemberUpdate(
-                                address, state, row.fact().counter(), row.fact().leaving()),
+                                address,
+                                state,
+                                row.latestUpdate().counter(),
+                                row.latestUpdate().leaving()),
                         nowMillis));
     }
 
     private void change(Member row, MemberUpdate next, long nowMillis) {
-        row.change(next, nowMillis, transmissions());
+        row.applyUpdate(next, nowMillis, transmissionsPerUpdate());
         version++;
     }
 
@@ -213,14 +219,14 @@
         }
     }
 
-    private void addGone(VmId vm, long incarnation) {
-        gone.merge(vm, incarnation, Math::max);
-        if (gone.size() > MAX_GONE) {
-            gone.remove(gone.keySet().iterator().next());
+    private void recordGone(VmId vm, long incarnation) {
+        goneIncarnations.merge(vm, incarnation, Math::max);
+        if (goneIncarnations.size() > MAX_GONE_INCARNATIONS) {
+            goneIncarnations.remove(goneIncarnations.keySet().iterator().next());
         }
     }
 
-    private int transmissions() {
-        return TRANSMISSIONS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members.size() + 1));
+    private int transmissionsPerUpdate() {
+        return TRANSMISSIONS_PER_SIZE_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members.size() + 1));
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSettings.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSettings.java
@@ -8,8 +8,8 @@
  * @param probeTimeoutMillis time without an answer after which others are asked to probe
  * @param indirectTimeoutMillis time without an indirect answer after which a member is suspected
  * @param suspicionMillis time in which a suspected member may refute
- * @param minListMillis least mean time between two reads of the platform's list by one VM
- * @param listMillisPerVm mean time between two reads of the platform's list by all VMs together
+ * @param minListIntervalMillis least mean time between two reads of the platform's list by one VM
+ * @param listIntervalMillisPerVm mean time between two reads of the platform's list by all VMs together
  */
 public record MembershipSettings(
         long periodMillis,
@@ -17,8 +17,8 @@
         long probeTimeoutMillis,
         long indirectTimeoutMillis,
         long suspicionMillis,
-        long minListMillis,
-        long listMillisPerVm) {
+        long minListIntervalMillis,
+        long listIntervalMillisPerVm) {
 
     /** Detects a dead VM within about two seconds at two heartbeats per period. */
     public static final MembershipSettings DEFAULT = new MembershipSettings(250, 2, 250, 400, 1_000, 2_000, 500);
@@ -29,9 +29,9 @@
             throw new IllegalArgumentException("period, fanout and timeouts must be positive, but are " + periodMillis
                     + ", " + fanout + ", " + probeTimeoutMillis + " and " + indirectTimeoutMillis);
         }
-        if (suspicionMillis < 1 || minListMillis < 1 || listMillisPerVm < 1) {
+        if (suspicionMillis < 1 || minListIntervalMillis < 1 || listIntervalMillisPerVm < 1) {
             throw new IllegalArgumentException("suspicion and list times must be positive, but are " + suspicionMillis
-                    + ", " + minListMillis + " and " + listMillisPerVm);
+                    + ", " + minListIntervalMillis + " and " + listIntervalMillisPerVm);
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
@@ -23,22 +23,22 @@
  */
 public final class MembershipSystem implements DecisionSystem, MembershipView {
 
-    private static final long GREET_PERIOD_MILLIS = 2_000;
-    private static final long URGENT_LIST_MILLIS = 3_000;
-    private static final int URGENT_LISTERS = 2;
+    private static final long REJOIN_PERIOD_MILLIS = 2_000;
+    private static final long URGENT_LIST_INTERVAL_MILLIS = 3_000;
+    private static final int MAX_URGENT_LISTERS = 2;
 
     private final VmAddress self;
     private final List<VmAddress> seeds;
     private final MembershipSettings settings;
     private final RandomGenerator random;
     private final MemberTable table;
-    private final HeartbeatDetector detector;
+    private final HeartbeatFailureDetector detector;
     private final CellDirectory directory;
     private final List<VmAddress> ownCellContacts = new ArrayList<>();
     private int listedVms = 1;
     private long nowMillis;
     private long nextListMillis;
-    private long nextGreetMillis;
+    private long nextRejoinMillis;
     private boolean started;
     private long digest;
     private long digestVersion = -1;
@@ -58,12 +58,12 @@
         this.settings = settings;
         this.random = random;
         this.table = new MemberTable(self);
-        this.detector = new HeartbeatDetector(table, self, settings, random);
+        this.detector = new HeartbeatFailureDetector(table, self, settings, random);
         this.directory = new CellDirectory(random);
     }
 
     /** Announces that this VM is leaving and is to get no new work. */
-    public void leave() {
+    public void announceLeaving() {
         table.markLeaving(self, nowMillis);
     }
 
@@ -116,36 +116,36 @@
         table.expire(now, settings.suspicionMillis());
         detector.tick(now, out);
         directory.tick(now, out);
-        if (now >= nextGreetMillis) {
-            nextGreetMillis = now + jittered(GREET_PERIOD_MILLIS);
-            greetAbsent(out);
-            compareView(out);
+        if (now >= nextRejoinMillis) {
+            nextRejoinMillis = now + jittered(REJOIN_PERIOD_MILLIS);
+            contactAbsentMembers(out);
+            requestOwnCellView(out);
         }
-        listIfDue(now, out);
+        requestVmListIfDue(now, out);
     }
 
     @Override
     public void handle(Event event, long now, Outbox out) {
         nowMillis = now;
         if (event instanceof Event.MessageReceived received) {
-            receive(received.from(), received.message(), out);
+            handleMessage(received.from(), received.message(), out);
         } else if (event instanceof Event.VmsListed listed) {
-            takeList(listed, now);
+            applyVmList(listed, now);
         } else if (event instanceof Event.LinkFailed failed) {
-            linkFailed(failed.to(), now);
+            markLinkFailed(failed.to(), now);
         }
     }
 
     private void start(long now) {
         started = true;
-        nextListMillis = now + random.nextLong(settings.minListMillis());
+        nextListMillis = now + random.nextLong(settings.minListIntervalMillis());
         seeds.forEach(this::addContact);
     }
 
-    private void receive(VmAddress from, PeerMessage message, Outbox out) {
+    private void handleMessage(VmAddress from, PeerMessage message, Outbox out) {
         if (from.cell().equals(self.cell())) {
-            table.seen(from, nowMillis);
-            detector.onSeen(from);
+            table.recordContact(from, nowMillis);
+            detector.cancelProbes(from);
         } else {
             directory.addContact(from);
         }
@@ -160,7 +160,7 @@
         } else if (message instanceof CellViewRequest request) {
             out.add(new Action.SendMessage(from, reply(request)));
         } else if (message instanceof CellViewReply reply) {
-            takeView(from, reply);
+            applyView(from, reply);
         }
     }
 
@@ -168,12 +168,12 @@
         if (!request.cell().equals(self.cell())) {
             return new CellViewReply(request.cell(), 0, List.of());
         }
-        List<MemberUpdate> live = table.facts(MemberUpdate::isLive);
+        List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
         long own = ownDigest();
         return new CellViewReply(self.cell(), own, own == request.digest() ? List.of() : live);
     }
 
-    private void takeList(Event.VmsListed listed, long now) {
+    private void applyVmList(Event.VmsListed listed, long now) {
         List<VmAddress> all = new ArrayList<>(listed.live());
         all.addAll(listed.leaving());
         all.forEach(this::addContact);
@@ -181,9 +181,9 @@
                 all.stream().filter(a -> !a.cell().equals(self.cell())).toList());
         listed.leaving().forEach(a -> table.markLeaving(a, now));
         listedVms = Math.max(1, all.size());
-        Set<VmAddress> set = new HashSet<>(all);
-        if (set.contains(self)) {
-            table.confirmGone(set::contains, now);
+        Set<VmAddress> listedAddresses = new HashSet<>(all);
+        if (listedAddresses.contains(self)) {
+            table.applyVmList(listedAddresses::contains, now);
         }
     }
 
@@ -198,7 +198,7 @@
         }
     }
 
-    private void linkFailed(VmAddress to, long now) {
+    private void markLinkFailed(VmAddress to, long now) {
         if (to.cell().equals(self.cell())) {
             table.markLinkFailed(to, now);
         } else {
@@ -207,19 +207,19 @@
     }
 
     /** Sends heartbeats to known addresses that are not live members, so that separated parts of a cell meet again. */
-    private void greetAbsent(Outbox out) {
+    private void contactAbsentMembers(Outbox out) {
         Set<VmAddress> absent = new HashSet<>(ownCellContacts);
-        table.facts(f -> f.state() == MemberState.DEAD).forEach(f -> absent.add(f.address()));
-        List<MemberUpdate> live = table.facts(MemberUpdate::isLive);
-        live.forEach(f -> absent.removeIf(a -> a.vm().equals(f.address().vm())));
+        table.latestUpdates(u -> u.state() == MemberState.DEAD).forEach(u -> absent.add(u.address()));
+        List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
+        live.forEach(u -> absent.removeIf(a -> a.vm().equals(u.address().vm())));
         absent.stream()
                 .sorted(RendezvousUtils.byScore(Long.toString(random.nextLong()), a -> a.vm().value()))
                 .limit(2)
-                .forEach(a -> detector.greet(a, out));
+                .forEach(a -> detector.sendHeartbeat(a, out));
     }
 
     /** Asks one random member for its view, which completes what heartbeats have not carried. */
-    private void compareView(Outbox out) {
+    private void requestOwnCellView(Outbox out) {
         List<VmAddress> others = new ArrayList<>(live(self.cell()));
         others.remove(self);
         if (!others.isEmpty()) {
@@ -231,26 +231,26 @@
     private long ownDigest() {
         if (digestVersion != table.version()) {
             digestVersion = table.version();
-            String text = table.facts(MemberUpdate::isLive).toString();
+            String text = table.latestUpdates(MemberUpdate::isLive).toString();
             digest = Math.max(1, text.hashCode() & 0xffff_ffffL);
         }
         return digest;
     }
 
-    private void takeView(VmAddress from, CellViewReply reply) {
+    private void applyView(VmAddress from, CellViewReply reply) {
         if (!reply.cell().equals(self.cell())) {
-            directory.onReply(from, reply);
+            directory.applyView(from, reply);
             return;
         }
         reply.members().stream().limit(MemberTable.MAX_MEMBERS).forEach(m -> table.merge(m, nowMillis));
     }
 
-    private void listIfDue(long now, Outbox out) {
+    private void requestVmListIfDue(long now, Outbox out) {
         if (directory.lacksContacts() || isUrgentLister()) {
-            nextListMillis = Math.min(nextListMillis, now + jittered(URGENT_LIST_MILLIS));
+            nextListMillis = Math.min(nextListMillis, now + jittered(URGENT_LIST_INTERVAL_MILLIS));
         }
         if (now >= nextListMillis) {
-            long mean = Math.max(settings.minListMillis(), listedVms * settings.listMillisPerVm());
+            long mean = Math.max(settings.minListIntervalMillis(), listedVms * settings.listIntervalMillisPerVm());
             nextListMillis = now + jittered(mean);
             out.add(new Action.ListVms());
         }
@@ -258,20 +258,20 @@
 
     /** Whether a dead member waits for confirmation by the list and this VM is one of the few that ask for it. */
     private boolean isUrgentLister() {
-        List<MemberUpdate> dead = table.facts(f -> f.state() == MemberState.DEAD);
+        List<MemberUpdate> dead = table.latestUpdates(u -> u.state() == MemberState.DEAD);
         if (dead.isEmpty()) {
             return false;
         }
-        List<MemberUpdate> live = table.facts(MemberUpdate::isLive);
+        List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
         return dead.stream().anyMatch(d -> live.stream()
-                .map(f -> f.address().vm())
+                .map(u -> u.address().vm())
                 .sorted(RendezvousUtils.byScore(d.address().vm().value(), VmId::value))
-                .limit(URGENT_LISTERS)
+                .limit(MAX_URGENT_LISTERS)
                 .anyMatch(self.vm()::equals));
     }
 
     private List<MemberUpdate> members(CellId cell) {
-        return cell.equals(self.cell()) ? table.facts(f -> true) : directory.members(cell, nowMillis);
+        return cell.equals(self.cell()) ? table.latestUpdates(u -> true) : directory.members(cell, nowMillis);
     }
 
     private long jittered(long millis) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointRow.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointRow.java
@@ -20,12 +20,12 @@
         return status.dataAgeMillis() + Math.max(0, nowMillis - measuredMillis);
     }
 
-    EndpointRow withOneMore() {
+    EndpointRow withIncrementedLoad() {
         return new EndpointRow(status, measuredMillis, load + 1);
     }
 
     /** Whether a status measured later says the same or more than this row; a lower accepted term never does. */
-    boolean isOlderThan(EndpointStatus other, long otherMeasuredMillis) {
+    boolean isSupersededBy(EndpointStatus other, long otherMeasuredMillis) {
         if (other.acceptedTerm() != status.acceptedTerm()) {
             return other.acceptedTerm() > status.acceptedTerm();
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
@@ -24,11 +24,11 @@
  */
 public final class EndpointTable {
 
-    private static final long UNUSED_AFTER_MILLIS = 60_000;
+    private static final long DATABASE_IDLE_TIMEOUT_MILLIS = 60_000;
 
     private final Map<EndpointId, EndpointRow> rows = new HashMap<>();
-    private final Map<EndpointId, DatabaseId> owners = new HashMap<>();
-    private final Map<DatabaseId, Long> usedMillis = new HashMap<>();
+    private final Map<EndpointId, DatabaseId> databasesByEndpoint = new HashMap<>();
+    private final Map<DatabaseId, Long> lastUsedMillis = new HashMap<>();
     private Configuration configuration = Configuration.EMPTY;
 
     /**
@@ -38,9 +38,9 @@
      */
     public void configure(Configuration next) {
         configuration = next;
-        owners.clear();
-        next.databases().values().forEach(d -> d.endpoints().forEach(e -> owners.put(e.id(), d.id())));
-        rows.keySet().retainAll(owners.keySet());
+        databasesByEndpoint.clear();
+        next.databases().values().forEach(d -> d.endpoints().forEach(e -> databasesByEndpoint.put(e.id(), d.id())));
+        rows.keySet().retainAll(databasesByEndpoint.keySet());
     }
 
     /**
@@ -49,9 +49,9 @@
      * @param database the database
      * @param nowMillis milliseconds of the monotonic clock
      */
-    public Optional<DatabaseDeclaration> use(DatabaseId database, long nowMillis) {
+    public Optional<DatabaseDeclaration> recordUse(DatabaseId database, long nowMillis) {
         Optional<DatabaseDeclaration> found = configuration.database(database);
-        found.ifPresent(d -> usedMillis.put(d.id(), nowMillis));
+        found.ifPresent(d -> lastUsedMillis.put(d.id(), nowMillis));
         return found;
     }
 
@@ -61,12 +61,12 @@
      * @param database the database
      */
     public boolean isUsed(DatabaseId database) {
-        return usedMillis.containsKey(database);
+        return lastUsedMillis.containsKey(database);
     }
 
     /** The databases used of late, in order of their names. */
-    public Set<DatabaseId> used() {
-        return new TreeSet<>(usedMillis.keySet());
+    public Set<DatabaseId> usedDatabases() {
+        return new TreeSet<>(lastUsedMillis.keySet());
     }
 
     /**
@@ -87,7 +87,7 @@
      * @param endpoint the endpoint
      */
     public Optional<DatabaseDeclaration> databaseOf(EndpointId endpoint) {
-        return Optional.ofNullable(owners.get(endpoint)).flatMap(configuration::database);
+        return Optional.ofNullable(databasesByEndpoint.get(endpoint)).flatMap(configuration::database);
     }
 
     /**
@@ -111,7 +111,8 @@
         EndpointStatus status = hint.status();
         long measured = nowMillis - hint.ageMillis();
         EndpointRow row = rows.get(status.endpoint());
-        if (owners.containsKey(status.endpoint()) && (row == null || row.isOlderThan(status, measured))) {
+        if (databasesByEndpoint.containsKey(status.endpoint())
+                && (row == null || row.isSupersededBy(status, measured))) {
             rows.put(status.endpoint(), new EndpointRow(status, measured, hint.load()));
         }
     }
@@ -124,7 +125,7 @@
      * @param applied the position
      */
     public void observeApplied(EndpointId endpoint, LogPosition applied) {
-        rows.computeIfPresent(endpoint, (id, row) -> advanced(row, applied));
+        rows.computeIfPresent(endpoint, (id, row) -> withAppliedPosition(row, applied));
     }
 
     /**
@@ -133,7 +134,7 @@
      * @param endpoint the endpoint
      */
     public void addLoad(EndpointId endpoint) {
-        rows.computeIfPresent(endpoint, (id, row) -> row.withOneMore());
+        rows.computeIfPresent(endpoint, (id, row) -> row.withIncrementedLoad());
     }
 
     /**
@@ -156,7 +157,7 @@
                 .flatMap(e -> row(e.id()).stream())
                 .filter(r -> r.status().role() == EndpointRole.PRIMARY)
                 .max(Comparator.comparingLong(r -> r.status().acceptedTerm()));
-        return primary.filter(p -> leftTerm(database, p.status().acceptedTerm()) < database.majority());
+        return primary.filter(p -> countEndpointsAbove(database, p.status().acceptedTerm()) < database.majority());
     }
 
     /**
@@ -202,10 +203,10 @@
      * @param nowMillis milliseconds of the monotonic clock
      */
     public void expire(long nowMillis) {
-        if (usedMillis.values().removeIf(used -> nowMillis - used > UNUSED_AFTER_MILLIS)) {
+        if (lastUsedMillis.values().removeIf(used -> nowMillis - used > DATABASE_IDLE_TIMEOUT_MILLIS)) {
             rows.entrySet()
-                    .removeIf(e -> !usedMillis.containsKey(owners.get(e.getKey()))
-                            && nowMillis - e.getValue().measuredMillis() > UNUSED_AFTER_MILLIS);
+                    .removeIf(e -> !lastUsedMillis.containsKey(databasesByEndpoint.get(e.getKey()))
+                            && nowMillis - e.getValue().measuredMillis() > DATABASE_IDLE_TIMEOUT_MILLIS);
         }
     }
 
@@ -214,14 +215,14 @@
         return rows.size();
     }
 
-    private long leftTerm(DatabaseDeclaration database, long term) {
+    private long countEndpointsAbove(DatabaseDeclaration database, long term) {
         return database.endpoints().stream()
                 .flatMap(e -> row(e.id()).stream())
                 .filter(r -> r.status().acceptedTerm() > term)
                 .count();
     }
 
-    private static EndpointRow advanced(EndpointRow row, LogPosition applied) {
+    private static EndpointRow withAppliedPosition(EndpointRow row, LogPosition applied) {
         EndpointStatus old = row.status();
         if (applied.term() != old.applied().term() || applied.compareTo(old.applied()) <= 0) {
             return row;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSystem.java
@@ -27,10 +27,10 @@
     /** Hints that a home sends per second when it has many subscribers. */
     public static final int DEFAULT_HINTS_PER_SECOND = 400;
 
-    private static final long RENEW_MILLIS = 2_000;
-    private static final long LAPSE_MILLIS = 6_000;
-    private static final long CHANGED_HINT_MILLIS = 50;
-    private static final long UNCHANGED_HINT_MILLIS = 1_000;
+    private static final long SUBSCRIPTION_RENEWAL_MILLIS = 2_000;
+    private static final long SUBSCRIPTION_EXPIRY_MILLIS = 6_000;
+    private static final long MIN_CHANGED_HINT_INTERVAL_MILLIS = 50;
+    private static final long UNCHANGED_HINT_INTERVAL_MILLIS = 1_000;
     private static final int MAX_SUBSCRIBERS_PER_ENDPOINT = 256;
     private static final int MAX_SUBSCRIBED_ENDPOINTS = 1_024;
 
@@ -40,8 +40,8 @@
     private final int hintsPerSecond;
     private final RandomGenerator random;
     private final Map<EndpointId, Map<VmAddress, Long>> subscribers = new HashMap<>();
-    private final Map<EndpointId, SentHint> sent = new HashMap<>();
-    private final Map<EndpointId, Subscribed> subscribed = new HashMap<>();
+    private final Map<EndpointId, LastHint> lastHints = new HashMap<>();
+    private final Map<EndpointId, Subscription> subscriptions = new HashMap<>();
 
     /**
      * Creates the system.
@@ -74,8 +74,8 @@
     @Override
     public void tick(long nowMillis, Outbox out) {
         table.expire(nowMillis);
-        subscribe(nowMillis, out);
-        publish(nowMillis, out);
+        renewSubscriptions(nowMillis, out);
+        publishHints(nowMillis, out);
     }
 
     @Override
@@ -90,25 +90,26 @@
         }
     }
 
-    private void subscribe(long nowMillis, Outbox out) {
+    private void renewSubscriptions(long nowMillis, Outbox out) {
         Map<VmAddress, List<EndpointId>> due = new LinkedHashMap<>();
-        for (DatabaseId database : table.used()) {
-            table.declaredEndpoints(database).forEach(e -> subscribeIfDue(e, nowMillis, due));
+        for (DatabaseId database : table.usedDatabases()) {
+            table.declaredEndpoints(database).forEach(e -> renewIfDue(e, nowMillis, due));
         }
         due.forEach((home, endpoints) -> out.add(new Action.SendMessage(home, new HintSubscription(endpoints))));
-        subscribed.values().removeIf(s -> nowMillis - s.renewMillis() > LAPSE_MILLIS);
+        subscriptions.values().removeIf(s -> nowMillis - s.renewAtMillis() > SUBSCRIPTION_EXPIRY_MILLIS);
     }
 
-    private void subscribeIfDue(EndpointDeclaration endpoint, long nowMillis, Map<VmAddress, List<EndpointId>> due) {
+    private void renewIfDue(EndpointDeclaration endpoint, long nowMillis, Map<VmAddress, List<EndpointId>> due) {
         List<VmAddress> ranked = homes.homes(endpoint);
         if (ranked.isEmpty() || ranked.get(0).equals(self)) {
             return;
         }
         VmAddress home = ranked.get(0);
-        Subscribed current = subscribed.get(endpoint.id());
-        if (current == null || !current.home().equals(home) || nowMillis >= current.renewMillis()) {
-            long renew = nowMillis + RENEW_MILLIS / 2 + random.nextLong(RENEW_MILLIS);
-            subscribed.put(endpoint.id(), new Subscribed(home, renew));
+        Subscription current = subscriptions.get(endpoint.id());
+        if (current == null || !current.home().equals(home) || nowMillis >= current.renewAtMillis()) {
+            long renewAtMillis =
+                    nowMillis + SUBSCRIPTION_RENEWAL_MILLIS / 2 + random.nextLong(SUBSCRIPTION_RENEWAL_MILLIS);
+            subscriptions.put(endpoint.id(), new Subscription(home, renewAtMillis));
             due.computeIfAbsent(home, h -> new ArrayList<>()).add(endpoint.id());
         }
     }
@@ -118,60 +119,61 @@
         if (!declared || (!subscribers.containsKey(endpoint) && subscribers.size() >= MAX_SUBSCRIBED_ENDPOINTS)) {
             return;
         }
-        Map<VmAddress, Long> known = subscribers.computeIfAbsent(endpoint, e -> new LinkedHashMap<>());
-        if (known.containsKey(from) || known.size() < MAX_SUBSCRIBERS_PER_ENDPOINT) {
-            boolean fresh = known.put(from, nowMillis + LAPSE_MILLIS) == null;
-            if (fresh) {
-                sent.remove(endpoint);
+        Map<VmAddress, Long> expiryBySubscriber = subscribers.computeIfAbsent(endpoint, e -> new LinkedHashMap<>());
+        if (expiryBySubscriber.containsKey(from) || expiryBySubscriber.size() < MAX_SUBSCRIBERS_PER_ENDPOINT) {
+            boolean isNew = expiryBySubscriber.put(from, nowMillis + SUBSCRIPTION_EXPIRY_MILLIS) == null;
+            if (isNew) {
+                lastHints.remove(endpoint);
             }
         }
     }
 
-    private void publish(long nowMillis, Outbox out) {
+    private void publishHints(long nowMillis, Outbox out) {
         Map<VmAddress, List<EndpointHint>> batches = new LinkedHashMap<>();
-        subscribers.forEach((endpoint, known) -> {
-            known.values().removeIf(until -> nowMillis >= until);
+        subscribers.forEach((endpoint, expiryBySubscriber) -> {
+            expiryBySubscriber.values().removeIf(expiry -> nowMillis >= expiry);
             table.row(endpoint)
                     .filter(row -> isDue(endpoint, row, nowMillis))
-                    .ifPresent(row -> address(endpoint, row, known, nowMillis, batches));
+                    .ifPresent(row -> addHint(endpoint, row, expiryBySubscriber, nowMillis, batches));
         });
         subscribers.values().removeIf(Map::isEmpty);
-        sent.keySet().retainAll(subscribers.keySet());
+        lastHints.keySet().retainAll(subscribers.keySet());
         batches.forEach((to, hints) -> out.add(new Action.SendMessage(to, new EndpointHints(hints))));
     }
 
     private boolean isDue(EndpointId endpoint, EndpointRow row, long nowMillis) {
-        SentHint last = sent.get(endpoint);
+        LastHint last = lastHints.get(endpoint);
         if (last == null) {
             return true;
         }
-        boolean same = row.measuredMillis() == last.row().measuredMillis()
+        boolean unchanged = row.measuredMillis() == last.row().measuredMillis()
                 && row.status().applied().equals(last.row().status().applied());
-        long interval = same ? UNCHANGED_HINT_MILLIS : changedInterval();
+        long interval = unchanged ? UNCHANGED_HINT_INTERVAL_MILLIS : changedHintIntervalMillis();
         return nowMillis - last.sentMillis() >= interval;
     }
 
     /** Grows with the number of subscriptions, so that the hints sent per second stay bounded. */
-    private long changedInterval() {
-        long subscriptions = subscribers.values().stream().mapToLong(Map::size).sum();
-        long interval = subscriptions * 1_000 / hintsPerSecond;
-        return Math.min(UNCHANGED_HINT_MILLIS, Math.max(CHANGED_HINT_MILLIS, interval));
+    private long changedHintIntervalMillis() {
+        long subscriptionCount =
+                subscribers.values().stream().mapToLong(Map::size).sum();
+        long interval = subscriptionCount * 1_000 / hintsPerSecond;
+        return Math.min(UNCHANGED_HINT_INTERVAL_MILLIS, Math.max(MIN_CHANGED_HINT_INTERVAL_MILLIS, interval));
     }
 
-    private void address(
+    private void addHint(
             EndpointId endpoint,
             EndpointRow row,
-            Map<VmAddress, Long> known,
+            Map<VmAddress, Long> expiryBySubscriber,
             long nowMillis,
             Map<VmAddress, List<EndpointHint>> batches) {
-        sent.put(endpoint, new SentHint(row, nowMillis));
+        lastHints.put(endpoint, new LastHint(row, nowMillis));
         long age = Math.max(0, nowMillis - row.measuredMillis());
         EndpointHint hint = new EndpointHint(row.status(), age, row.load());
-        known.keySet().forEach(to -> batches.computeIfAbsent(to, t -> new ArrayList<>())
+        expiryBySubscriber.keySet().forEach(to -> batches.computeIfAbsent(to, t -> new ArrayList<>())
                 .add(hint));
     }
 
-    private record Subscribed(VmAddress home, long renewMillis) {}
+    private record Subscription(VmAddress home, long renewAtMillis) {}
 
-    private record SentHint(EndpointRow row, long sentMillis) {}
+    private record LastHint(EndpointRow row, long sentMillis) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/Selection.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/Selection.java
@@ -29,9 +29,9 @@
     /**
      * No endpoint fits yet; ask again later.
      *
-     * @param untilMillis time of the monotonic clock at which to ask again
+     * @param retryAtMillis time of the monotonic clock at which to ask again
      */
-    record Wait(long untilMillis) implements Selection {}
+    record Wait(long retryAtMillis) implements Selection {}
 
     /**
      * No endpoint will fit before the statement's wait ends.
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SelectionWaits.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SelectionTimeouts.java
@@ -5,18 +5,18 @@
  *
  * @param replicaMillis longest wait of a read for a replica to catch up before it goes to the primary
  * @param primaryMillis longest wait for a primary, for example during a promotion
- * @param retryMillis time between two attempts
+ * @param retryIntervalMillis time between two attempts
  */
-public record SelectionWaits(long replicaMillis, long primaryMillis, long retryMillis) {
+public record SelectionTimeouts(long replicaMillis, long primaryMillis, long retryIntervalMillis) {
 
     /** Waits that span a promotion. */
-    public static final SelectionWaits DEFAULT = new SelectionWaits(10, 9_000, 5);
+    public static final SelectionTimeouts DEFAULT = new SelectionTimeouts(10, 9_000, 5);
 
     /** Checks the ranges. */
-    public SelectionWaits {
-        if (replicaMillis < 0 || primaryMillis < replicaMillis || retryMillis < 1) {
+    public SelectionTimeouts {
+        if (replicaMillis < 0 || primaryMillis < replicaMillis || retryIntervalMillis < 1) {
             throw new IllegalArgumentException("waits must satisfy 0 <= replica <= primary and retry >= 1, but are "
-                    + replicaMillis + ", " + primaryMillis + " and " + retryMillis);
+                    + replicaMillis + ", " + primaryMillis + " and " + retryIntervalMillis);
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SessionToken.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SessionToken.java
@@ -20,7 +20,8 @@
 public record SessionToken(DatabaseId database, LogPosition floor) {
 
     private static final int MAX_LENGTH = 128;
-    private static final Pattern FORM = Pattern.compile("v1:([a-z0-9][a-z0-9.-]{0,62}):(\\d{1,18}):(\\d{1,18})");
+    private static final Pattern TOKEN_PATTERN =
+            Pattern.compile("v1:([a-z0-9][a-z0-9.-]{0,62}):(\\d{1,18}):(\\d{1,18})");
 
     /** Renders the token. */
     public String format() {
@@ -38,7 +39,7 @@
         if (text.length() > MAX_LENGTH) {
             return invalid("it is longer than " + MAX_LENGTH + " characters");
         }
-        Matcher matcher = FORM.matcher(text);
+        Matcher matcher = TOKEN_PATTERN.matcher(text);
         if (!matcher.matches()) {
             return invalid("it must have the form v1:<database>:<term>:<offset>");
         }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
@@ -170,7 +170,7 @@
                 ? Either.<PlatformFailure, org.hyssopswitch.core.engine.PrefixChanges>left(
                         new PlatformFailure.NoAnswer("config/teams/", "cut off"))
                 : platform.answer(watch.after);
-        node.handle(new Event.PrefixAnswered(watch.call, result));
+        node.handle(new Event.PrefixWatchCompleted(watch.call, result));
     }
 
     private void deliver(InFlight message) {
@@ -239,12 +239,12 @@
                     platform.countCall();
                     watches.add(new Watch(self.port() - 1000, self, watch.call(), watch.afterVersion(), nowMillis));
                 } else if (action instanceof Action.ReadObject read) {
-                    answers.add(
-                            new Answer(self, new Event.ObjectAnswered(read.call(), platform.readReport(read.path()))));
+                    answers.add(new Answer(
+                            self, new Event.ObjectCallCompleted(read.call(), platform.readReport(read.path()))));
                 } else if (action instanceof Action.UpdateObject update) {
                     answers.add(new Answer(
                             self,
-                            new Event.ObjectAnswered(
+                            new Event.ObjectCallCompleted(
                                     update.call(),
                                     platform.updateReport(update.path(), update.expectedVersion(), update.value()))));
                 } else if (action instanceof Action.ApplyConfiguration apply) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/failover/LeaseClaimTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/failover/LeaseClaimTests.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.hyssopswitch.core.engine.Action;
-import org.hyssopswitch.core.engine.CallNumbers;
+import org.hyssopswitch.core.engine.CallIdSequence;
 import org.hyssopswitch.core.engine.PlatformFailure;
 import org.hyssopswitch.core.engine.StoredObject;
 import org.hyssopswitch.core.identity.DatabaseId;
@@ -18,7 +18,7 @@
     private static final String PATH = "failover/renewals";
 
     private final List<Action> actions = new ArrayList<>();
-    private final LeaseClaim claim = new LeaseClaim(new DatabaseId("renewals"), "vm1/1", 3, new CallNumbers());
+    private final LeaseClaim claim = new LeaseClaim(new DatabaseId("renewals"), "vm1/1", 3, new CallIdSequence());
 
     @ParameterizedTest
     @CsvSource(
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/limit/FakeObjectStore.java
@@ -44,12 +44,12 @@
     Optional<Event> perform(Action action) {
         if (action instanceof Action.ReadObject read) {
             reads++;
-            return Optional.of(new Event.ObjectAnswered(
+            return Optional.of(new Event.ObjectCallCompleted(
                     read.call(), down ? noAnswer(read.path()) : Either.right(find(read.path()))));
         }
         if (action instanceof Action.UpdateObject update) {
             updates++;
-            return Optional.of(new Event.ObjectAnswered(update.call(), update(update)));
+            return Optional.of(new Event.ObjectCallCompleted(update.call(), update(update)));
         }
         return Optional.empty();
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/FakeNetwork.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/FakeNetwork.java
@@ -19,14 +19,14 @@
 
     static final long TICK_MILLIS = 50;
 
-    final Set<VmAddress> down = new HashSet<>();
-    final Set<String> cutPairs = new HashSet<>();
+    final Set<VmAddress> downVms = new HashSet<>();
+    final Set<String> cutLinks = new HashSet<>();
     List<VmAddress> listed = List.of();
     List<VmAddress> listedLeaving = List.of();
     boolean platformDown;
-    int listCalls;
-    int messages;
-    int mostUpdates;
+    int listCallCount;
+    int sentMessageCount;
+    int maxUpdatesPerPing;
 
     private final Map<VmAddress, MembershipSystem> systems = new LinkedHashMap<>();
     private final SplittableRandom random = new SplittableRandom(7);
@@ -48,11 +48,11 @@
         long end = nowMillis + millis;
         while (nowMillis < end) {
             nowMillis += TICK_MILLIS;
-            List<Sent> arriving = inFlight;
+            List<Sent> due = inFlight;
             inFlight = new ArrayList<>();
-            arriving.forEach(this::arrive);
+            due.forEach(this::deliver);
             systems.forEach((address, system) -> {
-                if (!down.contains(address)) {
+                if (!downVms.contains(address)) {
                     system.tick(nowMillis, action -> perform(address, action));
                 }
             });
@@ -61,25 +61,25 @@
 
     private void perform(VmAddress from, Action action) {
         if (action instanceof Action.ListVms) {
-            listCalls++;
+            listCallCount++;
             if (!platformDown) {
                 systems.get(from).handle(new Event.VmsListed(listed, listedLeaving), nowMillis, a -> perform(from, a));
             }
         } else if (action instanceof Action.SendMessage send) {
-            messages++;
+            sentMessageCount++;
             inFlight.add(new Sent(from, send));
         }
     }
 
-    private void arrive(Sent sent) {
+    private void deliver(Sent sent) {
         VmAddress from = sent.from();
         VmAddress to = sent.send().to();
-        String pair = from.vm() + "-" + to.vm();
-        if (!systems.containsKey(to) || down.contains(to) || down.contains(from) || cutPairs.contains(pair)) {
+        String link = from.vm() + "-" + to.vm();
+        if (!systems.containsKey(to) || downVms.contains(to) || downVms.contains(from) || cutLinks.contains(link)) {
             return;
         }
         if (sent.send().message() instanceof MembershipPing ping) {
-            mostUpdates = Math.max(mostUpdates, ping.updates().size());
+            maxUpdatesPerPing = Math.max(maxUpdatesPerPing, ping.updates().size());
         }
         systems.get(to).handle(new Event.MessageReceived(from, sent.send().message()), nowMillis, a -> perform(to, a));
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/MembershipSystemTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/MembershipSystemTests.java
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 6, 48})
-    void learnsTheWholeCellFromOneSeedWithoutThePlatform(int size) {
+    void discoversTheWholeCellFromOneSeedWithoutThePlatform(int size) {
         network.platformDown = true;
         List<MembershipSystem> all = startCell(size);
         network.run(SETTLE_MILLIS);
@@ -30,43 +30,43 @@
     }
 
     @Test
-    void declaresASilentMemberDeadAndOnlyThatOne() {
+    void declaresOnlyTheUnresponsiveMemberDead() {
         List<MembershipSystem> all = startCell(6);
         network.run(SETTLE_MILLIS);
-        network.down.add(all.get(3).self());
+        network.downVms.add(all.get(3).self());
         network.run(6_000);
         assertFalse(all.get(0).live(CELL).contains(all.get(3).self()));
         assertEquals(5, all.get(0).live(CELL).size());
     }
 
     @Test
-    void asksOthersBeforeItSuspectsAMemberItCannotReach() {
+    void probesAnUnreachableMemberIndirectlyBeforeSuspectingIt() {
         List<MembershipSystem> all = startCell(6);
         network.run(SETTLE_MILLIS);
-        network.cutPairs.add("vm0-vm3");
-        network.cutPairs.add("vm3-vm0");
+        network.cutLinks.add("vm0-vm3");
+        network.cutLinks.add("vm3-vm0");
         network.run(10_000);
         all.forEach(s -> assertEquals(6, s.live(CELL).size()));
     }
 
     @Test
-    void takesBackAMemberThatWasPausedOnceItRefutes() {
+    void readmitsAPausedMemberOnceItRefutesTheSuspicion() {
         List<MembershipSystem> all = startCell(4);
         network.run(SETTLE_MILLIS);
-        network.down.add(all.get(1).self());
+        network.downVms.add(all.get(1).self());
         network.run(5_000);
-        network.down.clear();
+        network.downVms.clear();
         network.run(10_000);
         all.forEach(s -> assertEquals(4, s.live(CELL).size()));
         assertFalse(all.get(0).isConfirmedGone(all.get(1).self().vm(), 1));
     }
 
     @Test
-    void treatsARestartedVmAsANewOne() {
+    void treatsARestartedVmAsANewMember() {
         List<MembershipSystem> all = startCell(4);
         network.run(SETTLE_MILLIS);
         VmAddress old = all.get(1).self();
-        network.down.add(old);
+        network.downVms.add(old);
         VmAddress restarted = FakeNetwork.vm("vm1", "recife", 2);
         network.start(restarted, all.get(0).self());
         network.run(10_000);
@@ -78,12 +78,12 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void confirmsADeadMemberAsGoneOnlyByAListThatOnceHeldIt(boolean listsItself) {
+    void confirmsADeadMemberAsGoneOnlyAfterItWasListedAndRemoved(boolean listsItself) {
         List<MembershipSystem> all = startCell(4);
         network.listed = addresses(all);
         network.run(SETTLE_MILLIS);
         VmAddress dead = all.get(3).self();
-        network.down.add(dead);
+        network.downVms.add(dead);
         network.run(8_000);
         assertFalse(all.get(0).isConfirmedGone(dead.vm(), 1));
         network.listed = listsItself ? addresses(all.subList(0, 3)) : List.of();
@@ -102,19 +102,19 @@
     }
 
     @Test
-    void givesALeavingMemberNoNewWorkUnlessAllLeave() {
+    void excludesLeavingMembersFromCandidatesUnlessAllLeave() {
         List<MembershipSystem> all = startCell(2);
         network.run(SETTLE_MILLIS);
-        all.get(0).leave();
+        all.get(0).announceLeaving();
         network.run(3_000);
         assertEquals(List.of(all.get(1).self()), all.get(1).candidates(CELL));
-        all.get(1).leave();
+        all.get(1).announceLeaving();
         network.run(3_000);
         assertEquals(2, all.get(0).candidates(CELL).size());
     }
 
     @Test
-    void takesLeavingMembersFromThePlatformsList() {
+    void readsLeavingMembersFromThePlatformsList() {
         List<MembershipSystem> all = startCell(3);
         network.listed = addresses(all.subList(0, 2));
         network.listedLeaving = addresses(all.subList(2, 3));
@@ -123,19 +123,19 @@
     }
 
     @Test
-    void followsAnotherCellOnlyWhileItIsUsed() {
+    void pullsTheViewOfAnotherCellOnceItIsUsed() {
         List<MembershipSystem> all = startCell(5);
-        VmAddress stranger = FakeNetwork.vm("other", "temuco", 1);
-        MembershipSystem other = network.start(stranger, all.get(4).self());
+        VmAddress otherVm = FakeNetwork.vm("other", "temuco", 1);
+        MembershipSystem otherSystem = network.start(otherVm, all.get(4).self());
         network.run(3_000);
-        assertEquals(List.of(all.get(4).self()), other.live(CELL));
+        assertEquals(List.of(all.get(4).self()), otherSystem.live(CELL));
         network.run(3_000);
-        assertEquals(5, other.live(CELL).size());
+        assertEquals(5, otherSystem.live(CELL).size());
         assertEquals(5, all.get(0).live(CELL).size());
     }
 
     @Test
-    void sendsHeartbeatsAndListReadsThatDoNotGrowWithTheFleet() {
+    void boundsHeartbeatsPerVmAndListReadsAsTheFleetGrows() {
         double small = messagesPerVm(6);
         double large = messagesPerVm(48);
         System.out.println("membership messages per VM in 100 s: 6 VMs " + small + ", 48 VMs " + large);
@@ -147,12 +147,12 @@
         List<MembershipSystem> all = test.startCell(size);
         test.network.listed = addresses(all);
         test.network.run(SETTLE_MILLIS);
-        test.network.messages = 0;
-        test.network.listCalls = 0;
+        test.network.sentMessageCount = 0;
+        test.network.listCallCount = 0;
         test.network.run(100_000);
-        assertTrue(test.network.mostUpdates <= MemberTable.MAX_UPDATES_PER_MESSAGE);
-        assertTrue(test.network.listCalls <= 150_000 / MembershipSettings.DEFAULT.listMillisPerVm());
-        return (double) test.network.messages / size;
+        assertTrue(test.network.maxUpdatesPerPing <= MemberTable.MAX_UPDATES_PER_MESSAGE);
+        assertTrue(test.network.listCallCount <= 150_000 / MembershipSettings.DEFAULT.listIntervalMillisPerVm());
+        return (double) test.network.sentMessageCount / size;
     }
 
     private List<MembershipSystem> startCell(int size) {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/session/DefaultEndpointSelectorTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/session/DefaultEndpointSelectorTests.java
@@ -33,11 +33,11 @@
 
     private static final DatabaseId DATABASE = new DatabaseId("renewals");
     private static final long NOW = 100_000;
-    private static final SelectionWaits WAITS = new SelectionWaits(10, 1_000, 5);
+    private static final SelectionTimeouts TIMEOUTS = new SelectionTimeouts(10, 1_000, 5);
 
     private final EndpointTable table = new EndpointTable();
     private final DefaultEndpointSelector selector =
-            new DefaultEndpointSelector(table, new DataCentreId("dc1"), WAITS, new SplittableRandom(1));
+            new DefaultEndpointSelector(table, new DataCentreId("dc1"), TIMEOUTS, new SplittableRandom(1));
 
     @BeforeEach
     void declareAGroupWithPrimaryInTheFirstDataCentre() {
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void takesThePrimaryUnconfirmedOnlyWhileAMajorityIsInContactWithIt() {
+    void selectsThePrimaryUnconfirmedOnlyWhileAMajorityIsInContactWithIt() {
         observe("e1", EndpointRole.REPLICA, 3, 100, 900, 5_000);
         observe("e2", EndpointRole.REPLICA, 3, 90, 5_000, 5_000);
         assertEquals("use e0", choose("read 1000", LogPosition.ZERO, NOW));
@@ -80,17 +80,17 @@
     }
 
     @Test
-    void takesThePrimaryWhenTheBriefWaitForAReplicaIsOver() {
+    void selectsThePrimaryWhenTheWaitForAReplicaTimesOut() {
         assertEquals("use e0", choose("read 1000", new LogPosition(3, 101), NOW, NOW - 10));
     }
 
     @Test
-    void givesUpWhenTheWaitForAPrimaryIsOver() {
+    void reportsUnavailableWhenTheWaitForAPrimaryTimesOut() {
         assertEquals("unavailable", choose("write", new LogPosition(4, 1), NOW, NOW - 1_000));
     }
 
     @Test
-    void sendsNothingToLeavingEndpoints() {
+    void excludesLeavingEndpoints() {
         declare("e0");
         assertEquals("wait", choose("write", LogPosition.ZERO, NOW));
         declare("e1");
@@ -98,13 +98,13 @@
     }
 
     @Test
-    void followsThePrimaryOfTheHighestTerm() {
+    void selectsThePrimaryOfTheHighestTerm() {
         observe("e2", EndpointRole.PRIMARY, 4, 91, 0, 0);
         assertEquals("use e2 confirmed", choose("write", LogPosition.ZERO, NOW));
     }
 
     @Test
-    void sendsNoWriteToAPrimaryWhoseTermAMajorityHasLeft() {
+    void sendsNoWriteToAPrimaryOnceAMajorityAcceptedAHigherTerm() {
         observe("e1", EndpointRole.FENCED, 4, 100, 0, 0);
         assertEquals("use e0 confirmed", choose("write", LogPosition.ZERO, NOW));
         observe("e2", EndpointRole.FENCED, 4, 90, 0, 0);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void forgetsEndpointsOfDatabasesThatNobodyUses() {
+    void evictsEndpointsOfIdleDatabases() {
         choose("write", LogPosition.ZERO, NOW);
         table.expire(NOW + 120_000);
         assertEquals(0, table.size());
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/session/SessionTokenTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/session/SessionTokenTests.java
@@ -19,7 +19,7 @@
     private static final long MAX = 999_999_999_999_999_999L;
 
     @Property(seed = "603770")
-    void readsWhatItFormats(@ForAll @LongRange(max = MAX) long term, @ForAll @LongRange(max = MAX) long offset) {
+    void parsesWhatItFormats(@ForAll @LongRange(max = MAX) long term, @ForAll @LongRange(max = MAX) long offset) {
         SessionToken token = new SessionToken(DATABASE, new LogPosition(term, offset));
         assertEquals(token, SessionToken.parse(token.format(), DATABASE).get());
     }
@@ -38,12 +38,12 @@
                 "v1:RENEWALS:1:2",
                 "v1:renewals:1:2\u0000"
             })
-    void refusesATokenThatIsWrong(String text) {
+    void rejectsAMalformedToken(String text) {
         assertTrue(SessionToken.parse(text, DATABASE).getLeft() instanceof Refusal.TokenInvalid);
     }
 
     @Property(seed = "120000")
-    void readsNoArbitraryText(@ForAll @StringLength(max = 300) String text) {
+    void rejectsArbitraryText(@ForAll @StringLength(max = 300) String text) {
         assertTrue(SessionToken.parse(text, DATABASE).isLeft());
     }
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FakeEndpoint.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/FakeEndpoint.java
@@ -131,15 +131,15 @@
         if (mutation == Mutation.PROMOTE_WITHOUT_FENCING) {
             return true;
         }
-        boolean sameOrderer = orderer.equals(fence.orderer()) || mutation == Mutation.REUSE_TERM;
+        boolean sameOrderer = orderer.equals(fence.coordinator()) || mutation == Mutation.REUSE_TERM;
         if (fence.term() == acceptedTerm) {
-            orderer = fence.orderer();
+            orderer = fence.coordinator();
             return sameOrderer;
         }
         if (fence.term() < acceptedTerm) {
             return false;
         }
-        accept(fence.term(), fence.orderer(), nowMillis);
+        accept(fence.term(), fence.coordinator(), nowMillis);
         role = EndpointRole.FENCED;
         return true;
     }
@@ -147,7 +147,7 @@
     private boolean promote(ControlRequest.Promote promote, long nowMillis) {
         boolean lenient = mutation == Mutation.PROMOTE_WITHOUT_FENCING && promote.term() >= acceptedTerm;
         boolean fenced = promote.term() == acceptedTerm
-                && (promote.orderer().equals(orderer) || mutation == Mutation.REUSE_TERM);
+                && (promote.coordinator().equals(orderer) || mutation == Mutation.REUSE_TERM);
         if (!fenced && !lenient) {
             return false;
         }
@@ -155,7 +155,7 @@
             acceptedTerm = promote.term();
             role = EndpointRole.PRIMARY;
             log.add(new Entry(acceptedTerm, NO_WRITE, nowMillis));
-            history.add(new History.Promoted(nowMillis, id, acceptedTerm, promote.orderer()));
+            history.add(new History.Promoted(nowMillis, id, acceptedTerm, promote.coordinator()));
         }
         return true;
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteCluster.java
@@ -257,7 +257,7 @@
             boolean silent = result.isLeft() && result.getLeft() instanceof PlatformFailure.NoAnswer;
             after(
                     silent ? 1_000 : platform.delayMillis,
-                    () -> vm.deliver(new Event.ObjectAnswered(number, result), this::now));
+                    () -> vm.deliver(new Event.ObjectCallCompleted(number, result), this::now));
         });
     }
 
@@ -289,7 +289,7 @@
             SuiteVm vm, Action.CallEndpoint call, Either<PlatformFailure, ControlReply> result, long delayMillis) {
         after(
                 delayMillis,
-                () -> vm.deliver(new Event.EndpointAnswered(call.call(), call.endpoint(), result), this::now));
+                () -> vm.deliver(new Event.EndpointCallCompleted(call.call(), call.endpoint(), result), this::now));
     }
 
     private record Timed(long atMillis, long number, Runnable work) {}
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteVm.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteVm.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 import org.hyssopswitch.core.configuration.Configuration;
 import org.hyssopswitch.core.engine.Action;
-import org.hyssopswitch.core.engine.CallNumbers;
+import org.hyssopswitch.core.engine.CallIdSequence;
 import org.hyssopswitch.core.engine.DecisionEngine;
 import org.hyssopswitch.core.engine.DecisionSystem;
 import org.hyssopswitch.core.engine.Event;
@@ -37,7 +37,7 @@
             FailoverSettings settings,
             java.util.function.BiConsumer<SuiteVm, Action> performer) {
         this.address = address;
-        this.systems = ClusterSystems.create(address, seeds, new CallNumbers(), random, e -> 0, policy, settings);
+        this.systems = ClusterSystems.create(address, seeds, new CallIdSequence(), random, e -> 0, policy, settings);
         this.performer = a -> performer.accept(this, a);
         List<DecisionSystem> all = new ArrayList<>(systems.systems());
         all.add(0, feed);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteWorkload.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SuiteWorkload.java
@@ -155,7 +155,7 @@
                 .selector()
                 .select(new SelectionRequest(o.effectiveRoute(), floor, o.tried, o.startedMillis), cluster.now());
         if (selection instanceof Selection.Wait wait) {
-            o.retryMillis = wait.untilMillis();
+            o.retryMillis = wait.retryAtMillis();
         } else if (selection instanceof Selection.Unavailable) {
             finish(o, Result.NOT_RUN, null);
         } else if (selection instanceof Selection.Use use) {
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CycleDriver.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/entry/CycleDriver.java
@@ -215,7 +215,7 @@
         if (selection instanceof Selection.Use use) {
             use(use);
         } else if (selection instanceof Selection.Wait wait) {
-            context.loop().schedule(Math.max(1, wait.untilMillis() - now), this::attemptAfterWait);
+            context.loop().schedule(Math.max(1, wait.retryAtMillis() - now), this::attemptAfterWait);
         } else if (selection instanceof Selection.Unavailable unavailable) {
             refuse(new Refusal.EndpointUnavailable(session.database(), unavailable.retryAfterMillis()));
         }
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlCodec.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/ControlCodec.java
@@ -25,10 +25,10 @@
 
     static String sql(ControlRequest request) {
         if (request instanceof ControlRequest.Fence fence) {
-            return call("hyssop_fence", fence.term(), quoted(fence.orderer()));
+            return call("hyssop_fence", fence.term(), quoted(fence.coordinator()));
         }
         if (request instanceof ControlRequest.Promote promote) {
-            return call("hyssop_promote", promote.term(), quoted(promote.orderer()));
+            return call("hyssop_promote", promote.term(), quoted(promote.coordinator()));
         }
         if (request instanceof ControlRequest.Follow follow) {
             return call("hyssop_follow", follow.term(), quoted(follow.primary().value()));
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/home/HomeService.java
@@ -180,7 +180,7 @@
 
     private void answer(Action.CallEndpoint call, Either<ControlFailure, ControlReply> result, Consumer<Event> target) {
         result.forEach(r -> Option.of(homes.get(call.endpoint())).forEach(h -> h.reported(r.status())));
-        target.accept(new Event.EndpointAnswered(call.call(), call.endpoint(), result));
+        target.accept(new Event.EndpointCallCompleted(call.call(), call.endpoint(), result));
     }
 
     /** Opens the homes that the placement assigns to this VM and drains the others. */
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
@@ -14,7 +14,7 @@
 import org.hyssopswitch.core.configuration.ConfigurationSystem;
 import org.hyssopswitch.core.drain.DrainPhase;
 import org.hyssopswitch.core.drain.DrainSystem;
-import org.hyssopswitch.core.engine.CallNumbers;
+import org.hyssopswitch.core.engine.CallIdSequence;
 import org.hyssopswitch.core.engine.DecisionEngine;
 import org.hyssopswitch.core.engine.DecisionSystem;
 import org.hyssopswitch.core.failover.ClusterSystems;
@@ -60,13 +60,13 @@
     @Override
     public VmCore create(VmAddress self, ToIntFunction<EndpointId> load) {
         RandomGenerator random = new SplittableRandom();
-        CallNumbers numbers = new CallNumbers();
+        CallIdSequence numbers = new CallIdSequence();
         ClusterSystems cluster = ClusterSystems.create(self, List.of(), numbers, random, load);
         TeamConfigurationCodec codec = new TeamConfigurationCodec();
         ConfigurationSystem configuration = new ConfigurationSystem(
                 cluster.membership(), codec::decode, ConfigurationSettings.DEFAULT, numbers, random);
         LimitSystem limits = new LimitSystem(cluster.membership(), LimitSettings.DEFAULT, numbers, random);
-        DrainSystem drain = new DrainSystem(cluster.membership()::leave, limits);
+        DrainSystem drain = new DrainSystem(cluster.membership()::announceLeaving, limits);
         List<DecisionSystem> systems = new ArrayList<>(cluster.systems());
         systems.addAll(List.of(configuration, limits, drain));
         DecisionEngine engine = new DecisionEngine(systems);
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/PlatformCalls.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/PlatformCalls.java
@@ -24,25 +24,25 @@
     }
 
     void read(Action.ReadObject action) {
-        answer(platform.read(action.path()), r -> events.accept(new Event.ObjectAnswered(action.call(), r)));
+        answer(platform.read(action.path()), r -> events.accept(new Event.ObjectCallCompleted(action.call(), r)));
     }
 
     void watch(Action.WatchObject action) {
         answer(
                 platform.watch(action.path(), action.afterVersion(), WATCH_MILLIS),
-                r -> events.accept(new Event.ObjectAnswered(action.call(), r)));
+                r -> events.accept(new Event.ObjectCallCompleted(action.call(), r)));
     }
 
     void watchPrefix(Action.WatchPrefix action) {
         answer(
                 platform.watchPrefix(action.prefix(), action.afterVersion(), PREFIX_WATCH_MILLIS),
-                r -> events.accept(new Event.PrefixAnswered(action.call(), r)));
+                r -> events.accept(new Event.PrefixWatchCompleted(action.call(), r)));
     }
 
     void update(Action.UpdateObject action) {
         answer(
                 platform.update(action.path(), action.expectedVersion(), action.value()),
-                r -> events.accept(new Event.ObjectAnswered(action.call(), r)));
+                r -> events.accept(new Event.ObjectCallCompleted(action.call(), r)));
     }
 
     void listVms() {
--- a/hyssopswitch-proxy/src/test/java/org/hyssopswitch/proxy/vm/TestFleet.java
+++ b/hyssopswitch-proxy/src/test/java/org/hyssopswitch/proxy/vm/TestFleet.java
@@ -22,7 +22,7 @@
 import org.hyssopswitch.core.configuration.Rate;
 import org.hyssopswitch.core.configuration.RouteDeclaration;
 import org.hyssopswitch.core.configuration.TeamConfiguration;
-import org.hyssopswitch.core.engine.CallNumbers;
+import org.hyssopswitch.core.engine.CallIdSequence;
 import org.hyssopswitch.core.engine.DecisionEngine;
 import org.hyssopswitch.core.failover.ControlRouter;
 import org.hyssopswitch.core.failover.MajorityCommitConfirmer;
@@ -50,7 +50,7 @@
 import org.hyssopswitch.core.retry.RetryPolicy;
 import org.hyssopswitch.core.session.DefaultEndpointSelector;
 import org.hyssopswitch.core.session.EndpointTable;
-import org.hyssopswitch.core.session.SelectionWaits;
+import org.hyssopswitch.core.session.SelectionTimeouts;
 import org.hyssopswitch.peer.PeerOptions;
 import org.hyssopswitch.proxy.entry.EntryOptions;
 import org.hyssopswitch.proxy.home.EndpointUser;
@@ -208,10 +208,11 @@
         MembershipView view = membership.viewOf(self);
         HomeResolver resolver = new RendezvousHomeResolver(view);
         EndpointTable table = new EndpointTable();
-        ControlRouter router = new ControlRouter(self, resolver, table, new CallNumbers());
+        ControlRouter router = new ControlRouter(self, resolver, table, new CallIdSequence());
         MajorityCommitConfirmer confirmer = new MajorityCommitConfirmer(router, table);
         EvenSplitRateLimiter limiter = new EvenSplitRateLimiter(parts);
-        SessionFloorSystem floors = new SessionFloorSystem(self, resolver, table, router, confirmer, new CallNumbers());
+        SessionFloorSystem floors =
+                new SessionFloorSystem(self, resolver, table, router, confirmer, new CallIdSequence());
         DecisionEngine engine = new DecisionEngine(List.of(
                 new TestSystems.GivenConfiguration(configuration::get),
                 new TestSystems.KnownStatuses(group, table),
@@ -223,7 +224,7 @@
         return new VmCore(
                 engine,
                 resolver,
-                new DefaultEndpointSelector(table, DATA_CENTRE, SelectionWaits.DEFAULT, random),
+                new DefaultEndpointSelector(table, DATA_CENTRE, SelectionTimeouts.DEFAULT, random),
                 confirmer,
                 floors::request,
                 limiter,
--- a/hyssopswitch-standin/src/main/java/org/hyssopswitch/standin/group/Endpoint.java
+++ b/hyssopswitch-standin/src/main/java/org/hyssopswitch/standin/group/Endpoint.java
@@ -74,9 +74,9 @@
     ControlReply control(ControlRequest request, long nowNanos) {
         boolean accepted = true;
         if (request instanceof ControlRequest.Fence fence) {
-            accepted = fence(fence.term(), fence.orderer(), nowNanos);
+            accepted = fence(fence.term(), fence.coordinator(), nowNanos);
         } else if (request instanceof ControlRequest.Promote promote) {
-            accepted = promote(promote.term(), promote.orderer(), nowNanos);
+            accepted = promote(promote.term(), promote.coordinator(), nowNanos);
         } else if (request instanceof ControlRequest.Follow follow) {
             accepted = follow(follow.term(), follow.primary(), nowNanos);
         }
