--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/CallIdSequence.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/CallIdSequence.java
@@ -2,7 +2,10 @@
 
 import java.util.function.LongSupplier;
 
-/** Numbers calls to the platform and to endpoints; one instance is shared by all systems of a VM. */
+/**
+ * Generates the identifiers of calls to the platform and to endpoints. All systems of a VM share one instance, so that
+ * an identifier is unique within the VM.
+ */
 public final class CallIdSequence implements LongSupplier {
 
     private long last;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/ControlRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/ControlRequest.java
@@ -5,23 +5,23 @@
 /** A control call to an endpoint. */
 public sealed interface ControlRequest {
 
-    /** Asks for the endpoint's status. */
+    /** Requests the endpoint's status. */
     record Status() implements ControlRequest {}
 
     /**
-     * Asks the endpoint to accept a term and to refuse all work of lower terms. An endpoint accepts a term from one
-     * coordinator only; the same coordinator may repeat the call.
+     * Fences the endpoint: it accepts a term and refuses all work of lower terms. An endpoint accepts a term from one
+     * promotion coordinator only; the same coordinator may repeat the call.
      *
      * @param term the term
-     * @param coordinator who orders the promotion; names a VM and its incarnation
+     * @param coordinator the promotion coordinator, identified by VM and incarnation
      */
     record Fence(long term, String coordinator) implements ControlRequest {}
 
     /**
-     * Makes the endpoint the primary of a term that it has accepted from the same coordinator.
+     * Makes the endpoint the primary of a term that it has accepted from the same promotion coordinator.
      *
      * @param term the term
-     * @param coordinator who orders the promotion
+     * @param coordinator the promotion coordinator, identified by VM and incarnation
      */
     record Promote(long term, String coordinator) implements ControlRequest {}
 
@@ -34,7 +34,8 @@
     record Follow(long term, EndpointId primary) implements ControlRequest {}
 
     /**
-     * Waits until the endpoint has applied an offset of a term's log, and fails once it has accepted a higher term.
+     * Waits until the endpoint has applied an offset of a term's log; fails once the endpoint has accepted a higher
+     * term.
      *
      * @param term the term
      * @param offset the offset
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/DecisionEngine.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/DecisionEngine.java
@@ -23,7 +23,7 @@
         this.systems = List.copyOf(systems);
     }
 
-    /** The configuration in force. */
+    /** Returns the configuration in force. */
     public Configuration configuration() {
         return configuration;
     }
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Offers an event to all systems.
+     * Passes an event to all systems.
      *
      * @param event the event
      * @param nowMillis milliseconds of the monotonic clock
@@ -63,7 +63,7 @@
         return result;
     }
 
-    /** Takes a higher version into force; a lower one is ignored because an accepted version never reverts. */
+    /** Applies a configuration of a higher version; other versions are ignored, so that a version never reverts. */
     private void configure(Configuration next, long nowMillis, List<Action> actions) {
         if (next.version() <= configuration.version()) {
             return;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/Event.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/Event.java
@@ -7,7 +7,7 @@
 import org.hyssopswitch.core.identity.VmAddress;
 import org.hyssopswitch.core.message.PeerMessage;
 
-/** What an outer driver tells the decision core. */
+/** An input of the decision core, delivered by its driver. */
 public sealed interface Event {
 
     /**
@@ -19,25 +19,25 @@
     record MessageReceived(VmAddress from, PeerMessage message) implements Event {}
 
     /**
-     * The link to a VM broke or could not be opened.
+     * The link to a VM failed or could not be opened.
      *
-     * @param to the VM that was addressed
+     * @param to the VM at the other end of the link
      */
     record LinkFailed(VmAddress to) implements Event {}
 
     /**
-     * A call to the platform ended.
+     * A call for an object of the platform completed.
      *
-     * @param call number given in the action
-     * @param result the object, or why the call failed
+     * @param call call identifier from the action
+     * @param result the object, or the failure of the call
      */
     record ObjectCallCompleted(long call, Either<PlatformFailure, StoredObject> result) implements Event {}
 
     /**
-     * A watch of a prefix ended.
+     * A watch of a prefix completed.
      *
-     * @param call number given in the action
-     * @param result the changed objects, or why the call failed
+     * @param call call identifier from the action
+     * @param result the changed objects, or the failure of the call
      */
     record PrefixWatchCompleted(long call, Either<PlatformFailure, PrefixChanges> result) implements Event {}
 
@@ -50,11 +50,11 @@
     record VmsListed(List<VmAddress> live, List<VmAddress> leaving) implements Event {}
 
     /**
-     * A control call to an endpoint ended.
+     * A control call to an endpoint completed.
      *
-     * @param call number given in the action
+     * @param call call identifier from the action
      * @param endpoint the endpoint
-     * @param result what the endpoint answered, or why the call failed
+     * @param result the reply of the endpoint, or the failure of the call
      */
     record EndpointCallCompleted(long call, EndpointId endpoint, Either<? extends Failure, ControlReply> result)
             implements Event {}
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/Outbox.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/Outbox.java
@@ -1,6 +1,6 @@
 package org.hyssopswitch.core.engine;
 
-/** Takes the actions that a system decides on. */
+/** Collects the actions that a system requests. */
 @FunctionalInterface
 public interface Outbox {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/PlatformFailure.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/PlatformFailure.java
@@ -2,11 +2,11 @@
 
 import org.hyssopswitch.core.failure.Failure;
 
-/** Why a call to the platform failed. */
+/** The failure of a call to the platform. */
 public sealed interface PlatformFailure extends Failure {
 
     /**
-     * The object has another version than expected; the update took no effect.
+     * The object does not have the expected version; the update had no effect.
      *
      * @param path path of the object
      * @param currentVersion version that the object has
@@ -19,10 +19,10 @@
     }
 
     /**
-     * The platform refused the call before running it, for example because its call rate is exceeded.
+     * The platform refused the call without running it, for example because its rate limit is exceeded.
      *
      * @param path path of the object
-     * @param retryAfterMillis milliseconds after which to try again
+     * @param retryAfterMillis delay before the next attempt, in milliseconds
      */
     record Throttled(String path, long retryAfterMillis) implements PlatformFailure {
         @Override
@@ -32,10 +32,10 @@
     }
 
     /**
-     * No answer came; an update may have taken effect.
+     * No response arrived; an update may nevertheless have taken effect.
      *
      * @param path path of the object
-     * @param reason what broke
+     * @param reason the cause, for the log
      */
     record NoAnswer(String path, String reason) implements PlatformFailure {
         @Override
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/PrefixChanges.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/engine/PrefixChanges.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * The objects below a prefix that have changed.
+ * The objects below a prefix that have changed since a version.
  *
  * @param version store-wide version up to which the list is complete
- * @param objects objects with a version above the one asked for, in order of version; a deleted object has no value
+ * @param objects the objects with a version above the requested one, ordered by version; a deleted object has an empty
+ *     value
  */
 public record PrefixChanges(long version, List<StoredObject> objects) {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/CellId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/CellId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a cell: a bounded set of VMs of one data centre that know each other.
+ * Identifier of a cell: a bounded set of VMs of one data centre that keep track of each other's membership.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record CellId(String value) implements Comparable<CellId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public CellId {
         IdentifierUtils.requireIdentifier("cell", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/ClientAccountId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/ClientAccountId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a client account.
+ * Identifier of a client account.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record ClientAccountId(String value) implements Comparable<ClientAccountId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public ClientAccountId {
         IdentifierUtils.requireIdentifier("client account", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/DataCentreId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/DataCentreId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a data centre.
+ * Identifier of a data centre.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record DataCentreId(String value) implements Comparable<DataCentreId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public DataCentreId {
         IdentifierUtils.requireIdentifier("data centre", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/DatabaseId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/DatabaseId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a database, which is served by one group of endpoints.
+ * Identifier of a database, which is served by one group of endpoints.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record DatabaseId(String value) implements Comparable<DatabaseId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public DatabaseId {
         IdentifierUtils.requireIdentifier("database", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/EndpointId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/EndpointId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names an endpoint: one database server.
+ * Identifier of an endpoint: one database server.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record EndpointId(String value) implements Comparable<EndpointId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public EndpointId {
         IdentifierUtils.requireIdentifier("endpoint", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/IdentifierUtils.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/IdentifierUtils.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Checks of identifiers. */
+/** Validates identifiers. */
 final class IdentifierUtils {
 
     private static final Pattern IDENTIFIER_PATTERN = Pattern.compile("[a-z0-9][a-z0-9.-]{0,62}");
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/KeyId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/KeyId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a key of a client account; it is not secret.
+ * Identifier of a key of a client account. The identifier is not secret.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record KeyId(String value) implements Comparable<KeyId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public KeyId {
         IdentifierUtils.requireIdentifier("key", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/RouteId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/RouteId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a declared route.
+ * Identifier of a declared route.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record RouteId(String value) implements Comparable<RouteId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public RouteId {
         IdentifierUtils.requireIdentifier("route", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/TeamId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/TeamId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a team, which owns one subtree of the configuration.
+ * Identifier of a team, which owns one subtree of the configuration.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record TeamId(String value) implements Comparable<TeamId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public TeamId {
         IdentifierUtils.requireIdentifier("team", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/VmAddress.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/VmAddress.java
@@ -1,10 +1,10 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * A VM together with its incarnation and the address of its peer listener.
+ * The identity of one incarnation of a VM, its location and the address of its peer listener.
  *
  * @param vm the VM
- * @param incarnation grows with every start of the VM; milliseconds since the epoch at the start
+ * @param incarnation start time of the VM in milliseconds since the epoch, which grows with every start
  * @param dataCentre the data centre the VM runs in
  * @param cell the cell the VM belongs to
  * @param host IP address of the peer listener
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/VmId.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/identity/VmId.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.identity;
 
 /**
- * Names a VM of the system; a restarted VM may keep its name and is told apart by its incarnation.
+ * Identifier of a VM. A restarted VM may keep its identifier; the incarnation distinguishes the two.
  *
  * @param value lower-case letters, digits, dots and hyphens, at most 63 characters
  */
 public record VmId(String value) implements Comparable<VmId> {
 
-    /** Checks the form of the identifier. */
+    /** Validates the format of the identifier. */
     public VmId {
         IdentifierUtils.requireIdentifier("VM", value);
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellDirectory.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellDirectory.java
@@ -15,9 +15,10 @@
 import org.hyssopswitch.core.identity.VmId;
 
 /**
- * Views of other cells, pulled from one random contact per period and only for cells in use.
+ * Cached views of other cells. Each cell in use is polled once per period, through one of its VMs chosen at random.
  *
- * <p>A reply carries members only when the view has changed, so a calm cell costs one small message pair per period.
+ * <p>A reply carries members only when the view has changed, so a cell without changes costs one small request and
+ * reply per period.
  */
 final class CellDirectory {
 
@@ -41,7 +42,9 @@
         return version;
     }
 
-    /** Adds an address through which the view of a cell can be asked for. */
+    /**
+     * Adds a VM from which the view of its cell can be requested; a lower incarnation than the known one is ignored.
+     */
     void addContact(VmAddress address) {
         Map<VmId, VmAddress> known = contacts.computeIfAbsent(address.cell(), c -> new TreeMap<>());
         VmAddress old = known.get(address.vm());
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Keeps as contacts only VMs of a list; cells without any listed VM keep theirs. */
+    /** Removes contacts that the platform's list of VMs lacks; a cell without any listed VM keeps its contacts. */
     void retainListed(Collection<VmAddress> listed) {
         Map<CellId, Map<VmId, VmAddress>> listedByCell = new HashMap<>();
         listed.forEach(a ->
@@ -64,7 +67,10 @@
         });
     }
 
-    /** The members of a cell as last heard, or its contacts when no view has arrived yet; marks the cell as in use. */
+    /**
+     * Returns the members of a cell as last reported, or its contacts when no view has arrived yet. Marks the cell as
+     * in use; at the limit, the cell first used longest ago is evicted.
+     */
     List<MemberUpdate> members(CellId id, long nowMillis) {
         if (!cells.containsKey(id) && cells.size() >= MAX_CELLS) {
             cells.remove(cells.keySet().iterator().next());
@@ -88,7 +94,7 @@
         version++;
     }
 
-    /** Whether a cell in use has no known VM. */
+    /** Whether some cell in use has no known VM. */
     boolean lacksContacts() {
         return cells.keySet().stream()
                 .anyMatch(id -> contacts.getOrDefault(id, Map.of()).isEmpty());
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellViewReply.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellViewReply.java
@@ -5,11 +5,11 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * The view that a VM has of its own cell.
+ * Message with a VM's view of its own cell.
  *
  * @param cell the cell
  * @param digest digest of the view; 0 when the sender belongs to another cell
- * @param members the live members; empty when the digest is the one asked with
+ * @param members the live members; empty when the digest equals that of the request
  */
 public record CellViewReply(CellId cell, long digest, List<MemberUpdate> members) implements PeerMessage {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatFailureDetector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatFailureDetector.java
@@ -11,7 +11,10 @@
 import org.hyssopswitch.core.engine.Outbox;
 import org.hyssopswitch.core.identity.VmAddress;
 
-/** Sends heartbeats to members of the own cell in random order and suspects those that do not answer. */
+/**
+ * Sends heartbeats to the members of the own cell, in a shuffled rotation, and marks as suspect a member that
+ * acknowledges neither a heartbeat nor the indirect probes that follow it.
+ */
 final class HeartbeatFailureDetector {
 
     private static final int INDIRECT_PROBES = 2;
@@ -44,7 +47,7 @@
         }
     }
 
-    /** Sends a heartbeat outside the rotation, for example to a VM that is not known to be live. */
+    /** Sends a heartbeat without tracking its acknowledgement, for example to a VM that is not known to be live. */
     void sendHeartbeat(VmAddress target, Outbox out) {
         out.add(new Action.SendMessage(target, new MembershipPing(++lastSequence, table.updatesFor(target))));
     }
@@ -71,7 +74,7 @@
         relayedProbes.put(lastSequence, new RelayedProbe(from, request.sequence()));
     }
 
-    /** Drops the outstanding heartbeats to a VM that has shown itself alive. */
+    /** Cancels the probes of a VM from which a message has arrived. */
     void cancelProbes(VmAddress from) {
         probes.values().removeIf(probe -> probe.target().equals(from));
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
@@ -1,6 +1,6 @@
 package org.hyssopswitch.core.membership;
 
-/** A row of the member table. */
+/** A row of the member table: the latest update about a member, and how often it is still to be sent with messages. */
 final class Member {
 
     private MemberUpdate latestUpdate;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberState.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberState.java
@@ -1,13 +1,13 @@
 package org.hyssopswitch.core.membership;
 
-/** What is known of a member; of two states with the same counter the later one holds. */
+/** The state of a member. Of two updates with the same counter, the one with the later constant takes precedence. */
 public enum MemberState {
     /** Answers heartbeats. */
     ALIVE,
-    /** Has missed heartbeats and may still refute the suspicion. */
+    /** Has missed heartbeats and can still refute the suspicion. */
     SUSPECT,
-    /** Has not refuted the suspicion in time. */
+    /** Did not refute the suspicion before it timed out. */
     DEAD,
-    /** Is dead and has disappeared from the platform's list. */
+    /** Is dead and has been removed from the platform's list of VMs. */
     GONE
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MemberTable.java
@@ -12,7 +12,10 @@
 import org.hyssopswitch.core.identity.VmAddress;
 import org.hyssopswitch.core.identity.VmId;
 
-/** The members of the own cell. Bounded: beyond {@value #MAX_MEMBERS} rows no further member is taken up. */
+/**
+ * The members of the own cell. Holds at most {@value #MAX_MEMBERS} rows: when it is full, rows of members that are not
+ * live are evicted, and if none are, further members are ignored.
+ */
 final class MemberTable {
 
     static final int MAX_MEMBERS = 48;
@@ -45,7 +48,7 @@
         return Optional.ofNullable(members.get(vm));
     }
 
-    /** The facts about members that satisfy a condition, in order of their names. */
+    /** Returns the latest updates that satisfy a condition, ordered by the members' names. */
     List<MemberUpdate> latestUpdates(Predicate<MemberUpdate> condition) {
         return members.values().stream()
                 .map(Member::latestUpdate)
@@ -57,7 +60,7 @@
         return incarnation <= goneIncarnations.getOrDefault(vm, Long.MIN_VALUE);
     }
 
-    /** Takes an update that says more than what is known. */
+    /** Applies an update about a member of the own cell if it supersedes the latest known one. */
     void merge(MemberUpdate update, long nowMillis) {
         VmAddress address = update.address();
         if (!address.cell().equals(self.cell())) {
@@ -78,7 +81,9 @@
         mergeRow(row, update, nowMillis);
     }
 
-    /** Notes that a message of a VM arrived, which shows that its incarnation has started. */
+    /**
+     * Records that a message from a VM arrived: its incarnation has started, and a suspicion from a failed link ends.
+     */
     void recordContact(VmAddress from, long nowMillis) {
         merge(new MemberUpdate(from, MemberState.ALIVE, 0, false), nowMillis);
         find(from.vm()).ifPresent(row -> clearLinkFailure(row, Long.MAX_VALUE));
@@ -107,7 +112,7 @@
                         nowMillis));
     }
 
-    /** Declares dead the members that did not refute a suspicion in time and forgets those long dead. */
+    /** Declares dead the members whose suspicion has timed out and evicts those that have been dead for long enough. */
     void expire(long nowMillis, long suspicionMillis) {
         for (Member row : List.copyOf(members.values())) {
             clearLinkFailure(row, nowMillis);
@@ -122,7 +127,7 @@
         }
     }
 
-    /** Declares gone the dead members that a list once held and holds no more. */
+    /** Declares gone the dead members that an earlier list of the platform contained and this one lacks. */
     void applyVmList(Predicate<VmAddress> isListed, long nowMillis) {
         for (Member row : List.copyOf(members.values())) {
             VmAddress address = row.latestUpdate().address();
@@ -135,7 +140,10 @@
         }
     }
 
-    /** Chooses the updates to send with a message: the one about a suspected recipient, then the least sent. */
+    /**
+     * Selects the updates to send with a message: the one about the recipient, if it is not alive, so that it can
+     * refute, then those with the most remaining transmissions.
+     */
     List<MemberUpdate> updatesFor(VmAddress recipient) {
         List<MemberUpdate> updates = new ArrayList<>();
         find(recipient.vm())
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipAck.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipAck.java
@@ -4,10 +4,10 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Acknowledges a heartbeat or reports that an indirect probe was answered.
+ * Message that acknowledges a heartbeat, or reports that the target of an indirect probe has acknowledged one.
  *
  * @param sequence number of the heartbeat or of the probe request
- * @param updates statements about members, bounded in number
+ * @param updates gossiped updates about members, bounded in number
  */
 public record MembershipAck(long sequence, List<MemberUpdate> updates) implements PeerMessage {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipPing.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipPing.java
@@ -4,10 +4,10 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * A heartbeat that asks for an acknowledgement.
+ * Heartbeat message; the recipient acknowledges it.
  *
  * @param sequence number that the acknowledgement repeats
- * @param updates statements about members, bounded in number
+ * @param updates gossiped updates about members, bounded in number
  */
 public record MembershipPing(long sequence, List<MemberUpdate> updates) implements PeerMessage {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipProbeRequest.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipProbeRequest.java
@@ -4,9 +4,10 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks a member to send a heartbeat to a third one that has not answered.
+ * Message that requests an indirect probe: the recipient sends a heartbeat to a member that did not acknowledge one
+ * from the sender.
  *
  * @param sequence number that the acknowledgement repeats
- * @param target the member to probe
+ * @param target the member to which the recipient sends the heartbeat
  */
 public record MembershipProbeRequest(long sequence, VmAddress target) implements PeerMessage {}
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
@@ -16,10 +16,12 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * Membership of the own cell by heartbeats with incarnations, suspicion and indirect probes, and views of other cells.
+ * Membership of the own cell, by heartbeats with incarnations, suspicion and indirect probes, and cached views of other
+ * cells.
  *
- * <p>The platform's list is a source of addresses and the only proof that a silent VM has ended. Each VM reads it at
- * jittered intervals that grow with the number of listed VMs, so that the calls of the whole fleet stay constant.
+ * <p>The platform's list of VMs is a source of addresses and the only proof that an unresponsive VM has ended. Each VM
+ * reads it at jittered intervals that grow with the number of listed VMs, so that the call rate of the whole fleet
+ * stays constant.
  */
 public final class MembershipSystem implements DecisionSystem, MembershipView {
 
@@ -47,8 +49,8 @@
      * Creates the system.
      *
      * @param self the address of this VM
-     * @param seeds addresses known from settings; may be empty or outdated
-     * @param settings times and bounds
+     * @param seeds initial addresses of other VMs, from the settings; may be empty or outdated
+     * @param settings intervals, timeouts and bounds
      * @param random source of randomness
      */
     public MembershipSystem(
@@ -62,7 +64,7 @@
         this.directory = new CellDirectory(random);
     }
 
-    /** Announces that this VM is leaving and is to get no new work. */
+    /** Announces to the cell that this VM is leaving and is to receive no new work. */
     public void announceLeaving() {
         table.markLeaving(self, nowMillis);
     }
@@ -206,7 +208,7 @@
         }
     }
 
-    /** Sends heartbeats to known addresses that are not live members, so that separated parts of a cell meet again. */
+    /** Sends heartbeats to known addresses that are not live members, so that a cell recovers from a partition. */
     private void contactAbsentMembers(Outbox out) {
         Set<VmAddress> absent = new HashSet<>(ownCellContacts);
         table.latestUpdates(u -> u.state() == MemberState.DEAD).forEach(u -> absent.add(u.address()));
@@ -218,7 +220,7 @@
                 .forEach(a -> detector.sendHeartbeat(a, out));
     }
 
-    /** Asks one random member for its view, which completes what heartbeats have not carried. */
+    /** Requests the view of one random member, which supplies updates that heartbeats have not carried. */
     private void requestOwnCellView(Outbox out) {
         List<VmAddress> others = new ArrayList<>(live(self.cell()));
         others.remove(self);
@@ -256,7 +258,7 @@
         }
     }
 
-    /** Whether a dead member waits for confirmation by the list and this VM is one of the few that ask for it. */
+    /** Whether this VM is one of the few that read the list early, to confirm that some dead member is gone. */
     private boolean isUrgentLister() {
         List<MemberUpdate> dead = table.latestUpdates(u -> u.state() == MemberState.DEAD);
         if (dead.isEmpty()) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipView.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipView.java
@@ -5,40 +5,44 @@
 import org.hyssopswitch.core.identity.VmAddress;
 import org.hyssopswitch.core.identity.VmId;
 
-/** What this VM knows about the other VMs. Confined to the decision thread. */
+/** This VM's view of the members of its own cell and of other cells. Confined to the decision thread. */
 public interface MembershipView {
 
-    /** The address of this VM. */
+    /** Returns the address of this VM. */
     VmAddress self();
 
-    /** A number that grows with every change of the view; results derived from the view may be kept until then. */
+    /**
+     * Returns a number that grows with every change of the view; results derived from the view stay valid until then.
+     */
     long version();
 
     /**
-     * The VMs of a cell that are live, this VM included when it belongs to the cell, in order of their names. Asking
-     * for a cell other than the own one marks that cell as in use, so that its view is kept up to date.
+     * Returns the live VMs of a cell, ordered by name, including this VM when it belongs to the cell. A call for a cell
+     * other than the own one marks that cell as in use, so that its view is kept up to date.
      *
      * @param cell the cell
      */
     List<VmAddress> live(CellId cell);
 
     /**
-     * The live VMs of a cell that are not leaving and may be given new work, in order of their names.
+     * Returns the live VMs of a cell that are not leaving and may receive new work, ordered by name; all live VMs when
+     * every one is leaving.
      *
      * @param cell the cell
      */
     List<VmAddress> candidates(CellId cell);
 
     /**
-     * Tells whether a VM is suspected to have failed, by missed heartbeats or by a link that broke just now.
+     * Whether a VM is suspected to have failed, because it missed heartbeats or because a link to it failed recently.
      *
      * @param vm the VM
      */
     boolean isSuspected(VmAddress vm);
 
     /**
-     * Tells whether an incarnation of a VM is known to have ended: a higher incarnation of the VM is known, or the VM
-     * misses its heartbeats and has disappeared from the platform's list. The answer never changes back to false.
+     * Whether an incarnation of a VM is known to have ended: a higher incarnation of the VM is known, or the VM was
+     * declared dead for missed heartbeats and has been removed from the platform's list. Once true, the result stays
+     * true.
      *
      * @param vm the VM
      * @param incarnation the incarnation
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/DefaultEndpointSelector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/DefaultEndpointSelector.java
@@ -11,12 +11,13 @@
 import org.hyssopswitch.core.position.EndpointRole;
 
 /**
- * Sends writes and latest reads to the primary of the highest known term, and other reads to a replica that covers the
- * session's floor and is recent enough.
+ * Selects the primary of the highest known term for writes and for reads that accept no staleness, and a replica for
+ * other reads: one that has applied the session's floor and whose data age is within the route's maximum.
  *
- * <p>A read without a fitting replica waits briefly for one and then goes to the primary, where it needs a
- * confirmation unless a majority was in contact with the primary within the accepted age. Among fitting replicas the
- * least loaded is chosen, and one of the own data centre when the loads are close.
+ * <p>A read without an eligible replica waits up to {@link SelectionTimeouts#replicaMillis()} for one and then goes to
+ * the primary. There it needs confirmation by a majority, unless a majority was in contact with the primary within the
+ * route's maximum age. Among eligible replicas the one with the lowest load is selected; a replica in another data
+ * centre counts as more loaded by a fixed penalty.
  */
 public final class DefaultEndpointSelector implements EndpointSelector {
 
@@ -31,10 +32,10 @@
     /**
      * Creates a selector.
      *
-     * @param table the known endpoints
+     * @param table statuses and loads of the known endpoints
      * @param dataCentre the data centre of this VM
-     * @param timeouts how long to wait
-     * @param random breaks ties between equal endpoints
+     * @param timeouts how long statements wait for an eligible endpoint
+     * @param random breaks ties between endpoints of equal cost
      */
     public DefaultEndpointSelector(
             EndpointTable table, DataCentreId dataCentre, SelectionTimeouts timeouts, RandomGenerator random) {
@@ -98,7 +99,7 @@
         return Optional.of(recordSelection(new Selection.Use(chosen, false)));
     }
 
-    /** Whether some replica is behind the floor by little enough that a brief wait may do. */
+    /** Whether some replica's data is recent enough that it may apply the floor before the wait for a replica ends. */
     private boolean canCatchUp(SelectionRequest request, DatabaseDeclaration database, long nowMillis) {
         return database.endpoints().stream()
                 .flatMap(e -> table.row(e.id()).filter(r -> isEligibleReplica(request, e, r)).stream())
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointHint.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointHint.java
@@ -3,11 +3,11 @@
 import org.hyssopswitch.core.position.EndpointStatus;
 
 /**
- * What a home tells others about its endpoint.
+ * Status and load of an endpoint, as its home sends them to subscribers.
  *
  * @param status the endpoint's status
- * @param ageMillis milliseconds since the status was measured, 0 or more
- * @param load statements that run or wait at the home, 0 or more
+ * @param ageMillis time since the status was measured, in milliseconds; 0 or more
+ * @param load number of statements running or queued at the home; 0 or more
  */
 public record EndpointHint(EndpointStatus status, long ageMillis, int load) {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointHints.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointHints.java
@@ -4,9 +4,9 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Hints for a subscriber.
+ * Message in which a home sends endpoint hints to a subscriber.
  *
- * @param hints the hints
+ * @param hints one hint per endpoint that is due
  */
 public record EndpointHints(List<EndpointHint> hints) implements PeerMessage {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointSelector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointSelector.java
@@ -1,12 +1,12 @@
 package org.hyssopswitch.core.session;
 
-/** Chooses the endpoint that serves a statement. */
+/** Selects the endpoint on which a statement runs. */
 public interface EndpointSelector {
 
     /**
-     * Chooses an endpoint.
+     * Selects an endpoint, or tells the caller to retry later.
      *
-     * @param request the statement's needs
+     * @param request the statement's requirements
      * @param nowMillis milliseconds of the monotonic clock
      */
     Selection select(SelectionRequest request, long nowMillis);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
@@ -17,10 +17,10 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * Statuses of the endpoints that this VM is home to or sends statements to. Confined to the decision thread.
+ * Statuses and loads of the endpoints that this VM is home to or sends statements to. Confined to the decision thread.
  *
- * <p>Endpoints of databases that nobody has used for a while are forgotten, so that the table does not grow with the
- * number of declared databases.
+ * <p>Endpoints of databases that exceed the idle timeout are evicted, so that the table grows with the databases in use
+ * and not with the number of declared databases.
  */
 public final class EndpointTable {
 
@@ -32,7 +32,7 @@
     private Configuration configuration = Configuration.EMPTY;
 
     /**
-     * Takes a configuration into force and forgets endpoints that it does not declare.
+     * Applies a configuration and removes endpoints that it does not declare.
      *
      * @param next the configuration
      */
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Finds a declared database and marks it as used.
+     * Returns the declaration of a database and marks the database as used; empty when it is not declared.
      *
      * @param database the database
      * @param nowMillis milliseconds of the monotonic clock
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Whether a database was used of late.
+     * Whether a database was used within the idle timeout.
      *
      * @param database the database
      */
@@ -64,13 +64,13 @@
         return lastUsedMillis.containsKey(database);
     }
 
-    /** The databases used of late, in order of their names. */
+    /** Returns the databases used within the idle timeout, ordered by name. */
     public Set<DatabaseId> usedDatabases() {
         return new TreeSet<>(lastUsedMillis.keySet());
     }
 
     /**
-     * The declared endpoints of a database; empty when the database is not declared.
+     * Returns the declared endpoints of a database; empty when the database is not declared.
      *
      * @param database the database
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Finds the declaration of the database that an endpoint belongs to.
+     * Returns the declaration of the database that an endpoint belongs to.
      *
      * @param endpoint the endpoint
      */
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Finds the declaration of an endpoint.
+     * Returns the declaration of an endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Takes a hint, unless it is older than what is known or the endpoint is not declared.
+     * Stores a hint, unless it is older than the known status or the endpoint is not declared.
      *
      * @param hint the hint
      * @param nowMillis milliseconds of the monotonic clock
@@ -118,18 +118,18 @@
     }
 
     /**
-     * Takes a position that an endpoint reported with an answer; ignored unless it is later in the term that is
-     * already known of the endpoint.
+     * Advances the applied position of an endpoint to one that it reported with a response. Ignored unless the position
+     * is a later one of the term in which the endpoint's applied position is known.
      *
      * @param endpoint the endpoint
-     * @param applied the position
+     * @param applied the reported position
      */
     public void observeApplied(EndpointId endpoint, LogPosition applied) {
         rows.computeIfPresent(endpoint, (id, row) -> withAppliedPosition(row, applied));
     }
 
     /**
-     * Counts a statement that is sent to an endpoint until its next hint arrives.
+     * Adds one statement to the load of an endpoint; the next hint overwrites the estimate.
      *
      * @param endpoint the endpoint
      */
@@ -138,7 +138,7 @@
     }
 
     /**
-     * Finds the row of an endpoint.
+     * Returns the row of an endpoint; empty when no hint is stored for it.
      *
      * @param endpoint the endpoint
      */
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Finds the primary of the highest known term, unless a majority of the group is known to have accepted a higher
-     * term and therefore refuses to confirm its writes.
+     * Returns the primary of the highest known term, unless a majority of the group is known to have accepted a higher
+     * term: such a majority does not confirm the primary's writes.
      *
      * @param database the database
      */
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Finds the primary that has replaced an endpoint: it is primary in a higher term than the one in which the
-     * endpoint is last known to have been primary.
+     * Returns the primary that has replaced an endpoint: a primary of a higher term than the one in which the endpoint
+     * was last known as primary.
      *
      * @param endpoint the endpoint
      */
@@ -178,10 +178,11 @@
     }
 
     /**
-     * Milliseconds since a primary is known to have been the primary of its group: as long ago as a majority was last
-     * in contact with it in its term.
+     * Returns the time since a primary was last known to be the primary of its group, in milliseconds: the age of the
+     * most recent time at which a majority, itself included, was in contact with it in its term;
+     * {@link Long#MAX_VALUE} when no majority is known to have been.
      *
-     * @param database the group
+     * @param database the database that the group serves
      * @param primary the row of the primary
      * @param nowMillis milliseconds of the monotonic clock
      */
@@ -198,7 +199,7 @@
     }
 
     /**
-     * Forgets databases that have not been used of late.
+     * Evicts databases that have exceeded the idle timeout, and rows of idle databases whose status is as old.
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
@@ -210,7 +211,7 @@
         }
     }
 
-    /** The number of endpoints in the table. */
+    /** Returns the number of endpoints in the table. */
     public int size() {
         return rows.size();
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSubscription.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSubscription.java
@@ -5,9 +5,10 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Asks the home of endpoints for hints about them; it lapses unless it is renewed.
+ * Message that subscribes the sender to hints about endpoints at their home. The subscription expires unless it is
+ * renewed.
  *
- * @param endpoints the endpoints
+ * @param endpoints endpoints whose home is the recipient
  */
 public record HintSubscription(List<EndpointId> endpoints) implements PeerMessage {
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/HintSystem.java
@@ -17,14 +17,15 @@
 import org.hyssopswitch.core.placement.HomeResolver;
 
 /**
- * Keeps the endpoint table of an entry VM fresh: the VM subscribes with the homes of the endpoints of databases in use,
- * and homes send hints to their subscribers when a status has changed.
+ * Keeps the endpoint table of an entry VM up to date. The VM subscribes to the endpoints of databases in use at the
+ * homes of these endpoints, and each home sends hints to its subscribers, a changed status sooner than an unchanged
+ * one.
  *
- * <p>The traffic of a VM grows with the databases it uses and with the subscribers of its own endpoints, both bounded.
+ * <p>A VM's traffic grows with the databases it uses and with the subscribers of its own endpoints; both are bounded.
  */
 public final class HintSystem implements DecisionSystem {
 
-    /** Hints that a home sends per second when it has many subscribers. */
+    /** Default limit of the hints that a home sends per second to all subscribers together. */
     public static final int DEFAULT_HINTS_PER_SECOND = 400;
 
     private static final long SUBSCRIPTION_RENEWAL_MILLIS = 2_000;
@@ -47,10 +48,11 @@
      * Creates the system.
      *
      * @param self this VM
-     * @param homes finds the homes of endpoints
-     * @param table the table to keep fresh, and to send hints from
-     * @param hintsPerSecond hints that this VM sends per second at most, as long as each endpoint gets one a second
-     * @param random jitter
+     * @param homes resolves the homes of endpoints
+     * @param table the table that received hints update and sent hints are read from
+     * @param hintsPerSecond maximum number of hints that this VM sends per second; exceeded only where one hint per
+     *     subscription and second requires it
+     * @param random source of jitter for subscription renewal
      */
     public HintSystem(
             VmAddress self, HomeResolver homes, EndpointTable table, int hintsPerSecond, RandomGenerator random) {
@@ -62,7 +64,7 @@
     }
 
     /**
-     * Whether this VM or a subscriber of it sends statements to an endpoint.
+     * Whether this VM uses the database of an endpoint or another VM is subscribed to the endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -152,7 +154,7 @@
         return nowMillis - last.sentMillis() >= interval;
     }
 
-    /** Grows with the number of subscriptions, so that the hints sent per second stay bounded. */
+    /** Returns the interval between hints of a changed status; grows with the subscriptions to bound the send rate. */
     private long changedHintIntervalMillis() {
         long subscriptionCount =
                 subscribers.values().stream().mapToLong(Map::size).sum();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/Selection.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/Selection.java
@@ -2,24 +2,24 @@
 
 import org.hyssopswitch.core.identity.EndpointId;
 
-/** The outcome of choosing an endpoint. */
+/** The result of selecting an endpoint for a statement. */
 public sealed interface Selection {
 
     /**
-     * Run the statement on this endpoint.
+     * The statement runs on an endpoint.
      *
      * @param endpoint the endpoint
-     * @param primary whether it was chosen as the primary of its group
-     * @param confirm whether a majority must confirm a read before it is answered, because the endpoint may have been
-     *     replaced as the primary
+     * @param primary whether it was selected as the primary of its group
+     * @param confirm whether a majority must confirm a read before its result is returned, because the endpoint may
+     *     have been replaced as primary
      */
     record Use(EndpointId endpoint, boolean primary, boolean confirm) implements Selection {
 
         /**
-         * Uses an endpoint; reads at a primary are confirmed.
+         * Creates a selection in which reads at a primary require confirmation.
          *
          * @param endpoint the endpoint
-         * @param primary whether it was chosen as the primary of its group
+         * @param primary whether it was selected as the primary of its group
          */
         public Use(EndpointId endpoint, boolean primary) {
             this(endpoint, primary, primary);
@@ -27,16 +27,16 @@
     }
 
     /**
-     * No endpoint fits yet; ask again later.
+     * No endpoint is eligible yet; the caller selects again later.
      *
-     * @param retryAtMillis time of the monotonic clock at which to ask again
+     * @param retryAtMillis time of the monotonic clock at which to select again
      */
     record Wait(long retryAtMillis) implements Selection {}
 
     /**
-     * No endpoint will fit before the statement's wait ends.
+     * No endpoint became eligible before the statement's wait timed out, or the database is not declared.
      *
-     * @param retryAfterMillis milliseconds after which a repeat is worth while
+     * @param retryAfterMillis delay after which the caller may retry, in milliseconds
      */
     record Unavailable(long retryAfterMillis) implements Selection {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SelectionTimeouts.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SelectionTimeouts.java
@@ -1,7 +1,7 @@
 package org.hyssopswitch.core.session;
 
 /**
- * How long statements wait for an endpoint that fits.
+ * How long statements wait for an eligible endpoint.
  *
  * @param replicaMillis longest wait of a read for a replica to catch up before it goes to the primary
  * @param primaryMillis longest wait for a primary, for example during a promotion
@@ -9,14 +9,15 @@
  */
 public record SelectionTimeouts(long replicaMillis, long primaryMillis, long retryIntervalMillis) {
 
-    /** Waits that span a promotion. */
+    /** Defaults, with a wait for a primary that spans a promotion. */
     public static final SelectionTimeouts DEFAULT = new SelectionTimeouts(10, 9_000, 5);
 
     /** Checks the ranges. */
     public SelectionTimeouts {
         if (replicaMillis < 0 || primaryMillis < replicaMillis || retryIntervalMillis < 1) {
-            throw new IllegalArgumentException("waits must satisfy 0 <= replica <= primary and retry >= 1, but are "
-                    + replicaMillis + ", " + primaryMillis + " and " + retryIntervalMillis);
+            throw new IllegalArgumentException(
+                    "selection timeouts must satisfy 0 <= replica <= primary and retry interval >= 1, but are "
+                            + replicaMillis + ", " + primaryMillis + " and " + retryIntervalMillis);
         }
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SessionToken.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/SessionToken.java
@@ -8,11 +8,11 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * The floor of a session in the form in which callers carry it from one VM to another:
+ * The floor of a session, in the form in which callers pass it from one VM to another:
  * {@code v1:<database>:<term>:<offset>}.
  *
- * <p>A token is not signed. A forged one only makes reads of its own session wait for a position that never comes, or
- * read older data than the session could have had.
+ * <p>A token is not signed. A forged one affects only the reads of its own session: they wait for a position that is
+ * never reached, or return data older than the session's last write.
  *
  * @param database the database
  * @param floor the position of the session's last acknowledged write
@@ -23,17 +23,17 @@
     private static final Pattern TOKEN_PATTERN =
             Pattern.compile("v1:([a-z0-9][a-z0-9.-]{0,62}):(\\d{1,18}):(\\d{1,18})");
 
-    /** Renders the token. */
+    /** Returns the token in text form. */
     public String format() {
         return "v1:" + database + ":" + floor.term() + ":" + floor.offset();
     }
 
     /**
-     * Reads a token that a caller presents.
+     * Parses a token that a caller presents.
      *
      * @param text the token as received
      * @param expected the database that the session uses
-     * @return the token, or why it is refused
+     * @return the token, or the refusal when it is malformed or belongs to another database
      */
     public static Either<Refusal, SessionToken> parse(String text, DatabaseId expected) {
         if (text.length() > MAX_LENGTH) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/package-info.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/package-info.java
@@ -1,2 +1,5 @@
-/** Session floors, tokens and the choice of an endpoint for a statement. */
+/**
+ * Session tokens and the selection of an endpoint for each statement. Belongs to the engine behind the PostgreSQL
+ * listener.
+ */
 package org.hyssopswitch.core.session;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/FakeNetwork.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/membership/FakeNetwork.java
@@ -14,7 +14,7 @@
 import org.hyssopswitch.core.identity.VmAddress;
 import org.hyssopswitch.core.identity.VmId;
 
-/** Membership systems that exchange messages by hand, one tick after they were sent. */
+/** Runs membership systems in virtual time and delivers their messages one tick after they were sent. */
 final class FakeNetwork {
 
     static final long TICK_MILLIS = 50;
