--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellDirectory.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/CellDirectory.java
@@ -15,22 +15,23 @@
 import org.hyssopswitch.core.identity.VmId;
 
 /**
- * Views of other cells, pulled from one random contact per period and only for cells in use.
+ * Cached views of other cells. Each cell in use is polled once per period, through one of its VMs chosen at random.
  *
- * <p>A reply carries members only when the view has changed, so a calm cell costs one small message pair per period.
+ * <p>A reply carries members only when the view has changed, so a cell without changes costs one small request and
+ * reply per period.
  */
 final class CellDirectory {
 
     private static final int MAX_CELLS = 128;
     private static final int MAX_CONTACTS = MemberTable.MAX_MEMBERS;
     private static final long PULL_PERIOD_MILLIS = 1_000;
-    private static final long UNUSED_AFTER_MILLIS = 60_000;
-    private static final long LINK_FAILURE_MILLIS = 1_000;
+    private static final long CELL_IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final long LINK_FAILURE_SUSPICION_MILLIS = 1_000;
 
     private final RandomGenerator random;
     private final Map<CellId, Cell> cells = new LinkedHashMap<>();
     private final Map<CellId, Map<VmId, VmAddress>> contacts = new HashMap<>();
-    private final Map<VmAddress, Long> linkFailures = new HashMap<>();
+    private final Map<VmAddress, Long> suspectedUntilMillis = new HashMap<>();
     private long version;
 
     CellDirectory(RandomGenerator random) {
@@ -41,7 +42,9 @@
         return version;
     }
 
-    /** Adds an address through which the view of a cell can be asked for. */
+    /**
+     * Adds a VM from which the view of its cell can be requested; a lower incarnation than the known one is ignored.
+     */
     void addContact(VmAddress address) {
         Map<VmId, VmAddress> known = contacts.computeIfAbsent(address.cell(), c -> new TreeMap<>());
         VmAddress old = known.get(address.vm());
@@ -52,25 +55,28 @@
         }
     }
 
-    /** Keeps as contacts only VMs of a list; cells without any listed VM keep theirs. */
+    /** Removes contacts that the platform's list of VMs lacks; a cell without any listed VM keeps its contacts. */
     void retainListed(Collection<VmAddress> listed) {
-        Map<CellId, Map<VmId, VmAddress>> fresh = new HashMap<>();
-        listed.forEach(
-                a -> fresh.computeIfAbsent(a.cell(), c -> new TreeMap<>()).put(a.vm(), a));
-        fresh.forEach((cell, vms) -> {
+        Map<CellId, Map<VmId, VmAddress>> listedByCell = new HashMap<>();
+        listed.forEach(a ->
+                listedByCell.computeIfAbsent(a.cell(), c -> new TreeMap<>()).put(a.vm(), a));
+        listedByCell.forEach((cell, vms) -> {
             Map<VmId, VmAddress> known = contacts.computeIfAbsent(cell, c -> new TreeMap<>());
             known.keySet().retainAll(vms.keySet());
             vms.values().forEach(this::addContact);
         });
     }
 
-    /** The members of a cell as last heard, or its contacts when no view has arrived yet; marks the cell as in use. */
+    /**
+     * Returns the members of a cell as last reported, or its contacts when no view has arrived yet. Marks the cell as
+     * in use; at the limit, the cell first used longest ago is evicted.
+     */
     List<MemberUpdate> members(CellId id, long nowMillis) {
         if (!cells.containsKey(id) && cells.size() >= MAX_CELLS) {
             cells.remove(cells.keySet().iterator().next());
         }
         Cell cell = cells.computeIfAbsent(id, c -> new Cell());
-        cell.usedMillis = nowMillis;
+        cell.lastUsedMillis = nowMillis;
         if (!cell.members.isEmpty()) {
             return cell.members;
         }
@@ -80,34 +86,34 @@
     }
 
     boolean isSuspected(VmAddress address) {
-        return linkFailures.containsKey(address);
+        return suspectedUntilMillis.containsKey(address);
     }
 
     void markLinkFailed(VmAddress address, long nowMillis) {
-        linkFailures.put(address, nowMillis + LINK_FAILURE_MILLIS);
+        suspectedUntilMillis.put(address, nowMillis + LINK_FAILURE_SUSPICION_MILLIS);
         version++;
     }
 
-    /** Whether a cell in use has no known VM. */
+    /** Whether some cell in use has no known VM. */
     boolean lacksContacts() {
         return cells.keySet().stream()
                 .anyMatch(id -> contacts.getOrDefault(id, Map.of()).isEmpty());
     }
 
     void tick(long nowMillis, Outbox out) {
-        cells.values().removeIf(cell -> nowMillis - cell.usedMillis > UNUSED_AFTER_MILLIS);
-        if (linkFailures.values().removeIf(until -> nowMillis >= until)) {
+        cells.values().removeIf(cell -> nowMillis - cell.lastUsedMillis > CELL_IDLE_TIMEOUT_MILLIS);
+        if (suspectedUntilMillis.values().removeIf(until -> nowMillis >= until)) {
             version++;
         }
         cells.forEach((id, cell) -> {
             if (nowMillis >= cell.nextPullMillis) {
                 cell.nextPullMillis = nowMillis + jittered(PULL_PERIOD_MILLIS);
-                pull(id, cell, out);
+                requestView(id, cell, out);
             }
         });
     }
 
-    void onReply(VmAddress from, CellViewReply reply) {
+    void applyView(VmAddress from, CellViewReply reply) {
         Cell cell = cells.get(reply.cell());
         if (cell == null || !from.cell().equals(reply.cell()) || reply.digest() == 0) {
             return;
@@ -121,7 +127,7 @@
         }
     }
 
-    private void pull(CellId id, Cell cell, Outbox out) {
+    private void requestView(CellId id, Cell cell, Outbox out) {
         List<VmAddress> known =
                 new ArrayList<>(contacts.getOrDefault(id, Map.of()).values());
         if (!known.isEmpty()) {
@@ -137,7 +143,7 @@
     private static final class Cell {
         private List<MemberUpdate> members = List.of();
         private long digest;
-        private long usedMillis;
+        private long lastUsedMillis;
         private long nextPullMillis;
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatFailureDetector.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/HeartbeatFailureDetector.java
@@ -11,7 +11,10 @@
 import org.hyssopswitch.core.engine.Outbox;
 import org.hyssopswitch.core.identity.VmAddress;
 
-/** Sends heartbeats to members of the own cell in random order and suspects those that do not answer. */
+/**
+ * Sends heartbeats to the members of the own cell, in a shuffled rotation, and marks as suspect a member that
+ * acknowledges neither a heartbeat nor the indirect probes that follow it.
+ */
 final class HeartbeatFailureDetector {
 
     private static final int INDIRECT_PROBES = 2;
@@ -22,7 +25,7 @@
     private final MembershipSettings settings;
     private final RandomGenerator random;
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
-    private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
+    private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
     private final List<VmAddress> rotation = new ArrayList<>();
     private long lastSequence;
     private long nextRoundMillis;
@@ -35,7 +38,7 @@
     }
 
     void tick(long nowMillis, Outbox out) {
-        List.copyOf(probes.entrySet()).forEach(e -> age(e.getKey(), e.getValue(), nowMillis, out));
+        List.copyOf(probes.entrySet()).forEach(e -> checkTimeout(e.getKey(), e.getValue(), nowMillis, out));
         if (nowMillis >= nextRoundMillis) {
             nextRoundMillis = nowMillis + settings.periodMillis();
             for (int i = 0; i < settings.fanout() && refillRotation(); i++) {
@@ -44,7 +47,7 @@
         }
     }
 
-    /** Sends a heartbeat outside the rotation, for example to a VM that is not known to be live. */
+    /** Sends a heartbeat without tracking its acknowledgement, for example to a VM that is not known to be live. */
     void sendHeartbeat(VmAddress target, Outbox out) {
         out.add(new Action.SendMessage(target, new MembershipPing(++lastSequence, table.updatesFor(target))));
     }
@@ -55,7 +58,7 @@
 
     void onAck(MembershipAck ack, Outbox out) {
         probes.remove(ack.sequence());
-        Relayed origin = relayed.remove(ack.sequence());
+        RelayedProbe origin = relayedProbes.remove(ack.sequence());
         if (origin != null) {
             VmAddress requester = origin.requester();
             out.add(new Action.SendMessage(
@@ -64,14 +67,14 @@
     }
 
     void onProbeRequest(VmAddress from, MembershipProbeRequest request, Outbox out) {
-        if (relayed.size() >= MAX_RELAYED_PROBES) {
-            relayed.remove(relayed.keySet().iterator().next());
+        if (relayedProbes.size() >= MAX_RELAYED_PROBES) {
+            relayedProbes.remove(relayedProbes.keySet().iterator().next());
         }
         sendHeartbeat(request.target(), out);
-        relayed.put(lastSequence, new Relayed(from, request.sequence()));
+        relayedProbes.put(lastSequence, new RelayedProbe(from, request.sequence()));
     }
 
-    /** Drops the outstanding heartbeats to a VM that has shown itself alive. */
+    /** Cancels the probes of a VM from which a message has arrived. */
     void cancelProbes(VmAddress from) {
         probes.values().removeIf(probe -> probe.target().equals(from));
     }
@@ -84,19 +87,19 @@
         }
     }
 
-    private void age(long sequence, Probe probe, long nowMillis, Outbox out) {
+    private void checkTimeout(long sequence, Probe probe, long nowMillis, Outbox out) {
         long waited = nowMillis - probe.sentMillis();
         if (!probe.indirect() && waited >= settings.probeTimeoutMillis()) {
             probes.put(sequence, new Probe(probe.target(), nowMillis, true));
-            askOthers(sequence, probe.target(), out);
+            requestIndirectProbes(sequence, probe.target(), out);
         } else if (probe.indirect() && waited >= settings.indirectTimeoutMillis()) {
             probes.remove(sequence);
             table.suspect(probe.target(), nowMillis);
         }
     }
 
-    private void askOthers(long sequence, VmAddress target, Outbox out) {
-        List<VmAddress> helpers = others();
+    private void requestIndirectProbes(long sequence, VmAddress target, Outbox out) {
+        List<VmAddress> helpers = otherLiveMembers();
         helpers.remove(target);
         shuffle(helpers);
         helpers.stream()
@@ -106,15 +109,15 @@
 
     private boolean refillRotation() {
         if (rotation.isEmpty()) {
-            rotation.addAll(others());
+            rotation.addAll(otherLiveMembers());
             shuffle(rotation);
         }
         return !rotation.isEmpty();
     }
 
-    private List<VmAddress> others() {
+    private List<VmAddress> otherLiveMembers() {
         List<VmAddress> result = new ArrayList<>();
-        table.latestUpdates(MemberUpdate::isLive).forEach(f -> result.add(f.address()));
+        table.latestUpdates(MemberUpdate::isLive).forEach(u -> result.add(u.address()));
         result.remove(self);
         return result;
     }
@@ -125,5 +128,5 @@
 
     private record Probe(VmAddress target, long sentMillis, boolean indirect) {}
 
-    private record Relayed(VmAddress requester, long sequence) {}
+    private record RelayedProbe(VmAddress requester, long sequence) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/Member.java
@@ -1,30 +1,30 @@
 package org.hyssopswitch.core.membership;
 
-/** A row of the member table. */
+/** A row of the member table: the latest update about a member, and how often it is still to be sent with messages. */
 final class Member {
 
-    private MemberUpdate fact;
-    private long changedMillis;
-    private int transmissions;
+    private MemberUpdate latestUpdate;
+    private long stateChangedMillis;
+    private int remainingTransmissions;
     private boolean listed;
     private long linkFailedUntilMillis = Long.MIN_VALUE;
 
-    Member(MemberUpdate fact, long nowMillis, int transmissions) {
-        this.fact = fact;
-        this.changedMillis = nowMillis;
-        this.transmissions = transmissions;
+    Member(MemberUpdate latestUpdate, long nowMillis, int remainingTransmissions) {
+        this.latestUpdate = latestUpdate;
+        this.stateChangedMillis = nowMillis;
+        this.remainingTransmissions = remainingTransmissions;
     }
 
     MemberUpdate latestUpdate() {
-        return fact;
+        return latestUpdate;
     }
 
     long stateChangedMillis() {
-        return changedMillis;
+        return stateChangedMillis;
     }
 
     int remainingTransmissions() {
-        return transmissions;
+        return remainingTransmissions;
     }
 
     boolean isListed() {
@@ -32,23 +32,23 @@
     }
 
     boolean isSuspected() {
-        return fact.state() == MemberState.SUSPECT || linkFailedUntilMillis != Long.MIN_VALUE;
+        return latestUpdate.state() == MemberState.SUSPECT || linkFailedUntilMillis != Long.MIN_VALUE;
     }
 
-    void applyUpdate(MemberUpdate next, long nowMillis, int sends) {
-        if (next.state() != fact.state()) {
-            changedMillis = nowMillis;
+    void applyUpdate(MemberUpdate next, long nowMillis, int newTransmissions) {
+        if (next.state() != latestUpdate.state()) {
+            stateChangedMillis = nowMillis;
         }
-        if (next.address().incarnation() != fact.address().incarnation()) {
+        if (next.address().incarnation() != latestUpdate.address().incarnation()) {
             listed = false;
             linkFailedUntilMillis = Long.MIN_VALUE;
         }
-        fact = next;
-        transmissions = sends;
+        latestUpdate = next;
+        remainingTransmissions = newTransmissions;
     }
 
     void countTransmission() {
-        transmissions--;
+        remainingTransmissions--;
     }
 
     void markListed() {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/membership/MembershipSystem.java
@@ -16,16 +16,18 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * Membership of the own cell by heartbeats with incarnations, suspicion and indirect probes, and views of other cells.
+ * Membership of the own cell, by heartbeats with incarnations, suspicion and indirect probes, and cached views of other
+ * cells.
  *
- * <p>The platform's list is a source of addresses and the only proof that a silent VM has ended. Each VM reads it at
- * jittered intervals that grow with the number of listed VMs, so that the calls of the whole fleet stay constant.
+ * <p>The platform's list of VMs is a source of addresses and the only proof that an unresponsive VM has ended. Each VM
+ * reads it at jittered intervals that grow with the number of listed VMs, so that the call rate of the whole fleet
+ * stays constant.
  */
 public final class MembershipSystem implements DecisionSystem, MembershipView {
 
-    private static final long GREET_PERIOD_MILLIS = 2_000;
-    private static final long URGENT_LIST_MILLIS = 3_000;
-    private static final int URGENT_LISTERS = 2;
+    private static final long REJOIN_PERIOD_MILLIS = 2_000;
+    private static final long URGENT_LIST_INTERVAL_MILLIS = 3_000;
+    private static final int MAX_URGENT_LISTERS = 2;
 
     private final VmAddress self;
     private final List<VmAddress> seeds;
@@ -38,7 +40,7 @@
     private int listedVms = 1;
     private long nowMillis;
     private long nextListMillis;
-    private long nextGreetMillis;
+    private long nextRejoinMillis;
     private boolean started;
     private long digest;
     private long digestVersion = -1;
@@ -47,8 +49,8 @@
      * Creates the system.
      *
      * @param self the address of this VM
-     * @param seeds addresses known from settings; may be empty or outdated
-     * @param settings times and bounds
+     * @param seeds initial addresses of other VMs, from the settings; may be empty or outdated
+     * @param settings intervals, timeouts and bounds
      * @param random source of randomness
      */
     public MembershipSystem(
@@ -62,7 +64,7 @@
         this.directory = new CellDirectory(random);
     }
 
-    /** Announces that this VM is leaving and is to get no new work. */
+    /** Announces to the cell that this VM is leaving and is to receive no new work. */
     public void announceLeaving() {
         table.markLeaving(self, nowMillis);
     }
@@ -116,33 +118,33 @@
         table.expire(now, settings.suspicionMillis());
         detector.tick(now, out);
         directory.tick(now, out);
-        if (now >= nextGreetMillis) {
-            nextGreetMillis = now + jittered(GREET_PERIOD_MILLIS);
-            greetAbsent(out);
-            compareView(out);
+        if (now >= nextRejoinMillis) {
+            nextRejoinMillis = now + jittered(REJOIN_PERIOD_MILLIS);
+            contactAbsentMembers(out);
+            requestOwnCellView(out);
         }
-        listIfDue(now, out);
+        requestVmListIfDue(now, out);
     }
 
     @Override
     public void handle(Event event, long now, Outbox out) {
         nowMillis = now;
         if (event instanceof Event.MessageReceived received) {
-            receive(received.from(), received.message(), out);
+            handleMessage(received.from(), received.message(), out);
         } else if (event instanceof Event.VmsListed listed) {
-            takeList(listed, now);
+            applyVmList(listed, now);
         } else if (event instanceof Event.LinkFailed failed) {
-            linkFailed(failed.to(), now);
+            markLinkFailed(failed.to(), now);
         }
     }
 
     private void start(long now) {
         started = true;
-        nextListMillis = now + random.nextLong(settings.minListMillis());
+        nextListMillis = now + random.nextLong(settings.minListIntervalMillis());
         seeds.forEach(this::addContact);
     }
 
-    private void receive(VmAddress from, PeerMessage message, Outbox out) {
+    private void handleMessage(VmAddress from, PeerMessage message, Outbox out) {
         if (from.cell().equals(self.cell())) {
             table.recordContact(from, nowMillis);
             detector.cancelProbes(from);
@@ -160,7 +162,7 @@
         } else if (message instanceof CellViewRequest request) {
             out.add(new Action.SendMessage(from, reply(request)));
         } else if (message instanceof CellViewReply reply) {
-            takeView(from, reply);
+            applyView(from, reply);
         }
     }
 
@@ -173,7 +175,7 @@
         return new CellViewReply(self.cell(), own, own == request.digest() ? List.of() : live);
     }
 
-    private void takeList(Event.VmsListed listed, long now) {
+    private void applyVmList(Event.VmsListed listed, long now) {
         List<VmAddress> all = new ArrayList<>(listed.live());
         all.addAll(listed.leaving());
         all.forEach(this::addContact);
@@ -181,9 +183,9 @@
                 all.stream().filter(a -> !a.cell().equals(self.cell())).toList());
         listed.leaving().forEach(a -> table.markLeaving(a, now));
         listedVms = Math.max(1, all.size());
-        Set<VmAddress> set = new HashSet<>(all);
-        if (set.contains(self)) {
-            table.applyVmList(set::contains, now);
+        Set<VmAddress> listedAddresses = new HashSet<>(all);
+        if (listedAddresses.contains(self)) {
+            table.applyVmList(listedAddresses::contains, now);
         }
     }
 
@@ -198,7 +200,7 @@
         }
     }
 
-    private void linkFailed(VmAddress to, long now) {
+    private void markLinkFailed(VmAddress to, long now) {
         if (to.cell().equals(self.cell())) {
             table.markLinkFailed(to, now);
         } else {
@@ -206,20 +208,20 @@
         }
     }
 
-    /** Sends heartbeats to known addresses that are not live members, so that separated parts of a cell meet again. */
-    private void greetAbsent(Outbox out) {
+    /** Sends heartbeats to known addresses that are not live members, so that a cell recovers from a partition. */
+    private void contactAbsentMembers(Outbox out) {
         Set<VmAddress> absent = new HashSet<>(ownCellContacts);
-        table.latestUpdates(f -> f.state() == MemberState.DEAD).forEach(f -> absent.add(f.address()));
+        table.latestUpdates(u -> u.state() == MemberState.DEAD).forEach(u -> absent.add(u.address()));
         List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
-        live.forEach(f -> absent.removeIf(a -> a.vm().equals(f.address().vm())));
+        live.forEach(u -> absent.removeIf(a -> a.vm().equals(u.address().vm())));
         absent.stream()
                 .sorted(RendezvousUtils.byScore(Long.toString(random.nextLong()), a -> a.vm().value()))
                 .limit(2)
                 .forEach(a -> detector.sendHeartbeat(a, out));
     }
 
-    /** Asks one random member for its view, which completes what heartbeats have not carried. */
-    private void compareView(Outbox out) {
+    /** Requests the view of one random member, which supplies updates that heartbeats have not carried. */
+    private void requestOwnCellView(Outbox out) {
         List<VmAddress> others = new ArrayList<>(live(self.cell()));
         others.remove(self);
         if (!others.isEmpty()) {
@@ -237,41 +239,41 @@
         return digest;
     }
 
-    private void takeView(VmAddress from, CellViewReply reply) {
+    private void applyView(VmAddress from, CellViewReply reply) {
         if (!reply.cell().equals(self.cell())) {
-            directory.onReply(from, reply);
+            directory.applyView(from, reply);
             return;
         }
         reply.members().stream().limit(MemberTable.MAX_MEMBERS).forEach(m -> table.merge(m, nowMillis));
     }
 
-    private void listIfDue(long now, Outbox out) {
+    private void requestVmListIfDue(long now, Outbox out) {
         if (directory.lacksContacts() || isUrgentLister()) {
-            nextListMillis = Math.min(nextListMillis, now + jittered(URGENT_LIST_MILLIS));
+            nextListMillis = Math.min(nextListMillis, now + jittered(URGENT_LIST_INTERVAL_MILLIS));
         }
         if (now >= nextListMillis) {
-            long mean = Math.max(settings.minListMillis(), listedVms * settings.listMillisPerVm());
+            long mean = Math.max(settings.minListIntervalMillis(), listedVms * settings.listIntervalMillisPerVm());
             nextListMillis = now + jittered(mean);
             out.add(new Action.ListVms());
         }
     }
 
-    /** Whether a dead member waits for confirmation by the list and this VM is one of the few that ask for it. */
+    /** Whether this VM is one of the few that read the list early, to confirm that some dead member is gone. */
     private boolean isUrgentLister() {
-        List<MemberUpdate> dead = table.latestUpdates(f -> f.state() == MemberState.DEAD);
+        List<MemberUpdate> dead = table.latestUpdates(u -> u.state() == MemberState.DEAD);
         if (dead.isEmpty()) {
             return false;
         }
         List<MemberUpdate> live = table.latestUpdates(MemberUpdate::isLive);
         return dead.stream().anyMatch(d -> live.stream()
-                .map(f -> f.address().vm())
+                .map(u -> u.address().vm())
                 .sorted(RendezvousUtils.byScore(d.address().vm().value(), VmId::value))
-                .limit(URGENT_LISTERS)
+                .limit(MAX_URGENT_LISTERS)
                 .anyMatch(self.vm()::equals));
     }
 
     private List<MemberUpdate> members(CellId cell) {
-        return cell.equals(self.cell()) ? table.latestUpdates(f -> true) : directory.members(cell, nowMillis);
+        return cell.equals(self.cell()) ? table.latestUpdates(u -> true) : directory.members(cell, nowMillis);
     }
 
     private long jittered(long millis) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/session/EndpointTable.java
@@ -17,60 +17,60 @@
 import org.hyssopswitch.core.position.LogPosition;
 
 /**
- * Statuses of the endpoints that this VM is home to or sends statements to. Confined to the decision thread.
+ * Statuses and loads of the endpoints that this VM is home to or sends statements to. Confined to the decision thread.
  *
- * <p>Endpoints of databases that nobody has used for a while are forgotten, so that the table does not grow with the
- * number of declared databases.
+ * <p>Endpoints of databases that exceed the idle timeout are evicted, so that the table grows with the databases in use
+ * and not with the number of declared databases.
  */
 public final class EndpointTable {
 
-    private static final long UNUSED_AFTER_MILLIS = 60_000;
+    private static final long DATABASE_IDLE_TIMEOUT_MILLIS = 60_000;
 
     private final Map<EndpointId, EndpointRow> rows = new HashMap<>();
-    private final Map<EndpointId, DatabaseId> owners = new HashMap<>();
-    private final Map<DatabaseId, Long> usedMillis = new HashMap<>();
+    private final Map<EndpointId, DatabaseId> databasesByEndpoint = new HashMap<>();
+    private final Map<DatabaseId, Long> lastUsedMillis = new HashMap<>();
     private Configuration configuration = Configuration.EMPTY;
 
     /**
-     * Takes a configuration into force and forgets endpoints that it does not declare.
+     * Applies a configuration and removes endpoints that it does not declare.
      *
      * @param next the configuration
      */
     public void configure(Configuration next) {
         configuration = next;
-        owners.clear();
-        next.databases().values().forEach(d -> d.endpoints().forEach(e -> owners.put(e.id(), d.id())));
-        rows.keySet().retainAll(owners.keySet());
+        databasesByEndpoint.clear();
+        next.databases().values().forEach(d -> d.endpoints().forEach(e -> databasesByEndpoint.put(e.id(), d.id())));
+        rows.keySet().retainAll(databasesByEndpoint.keySet());
     }
 
     /**
-     * Finds a declared database and marks it as used.
+     * Returns the declaration of a database and marks the database as used; empty when it is not declared.
      *
      * @param database the database
      * @param nowMillis milliseconds of the monotonic clock
      */
     public Optional<DatabaseDeclaration> recordUse(DatabaseId database, long nowMillis) {
         Optional<DatabaseDeclaration> found = configuration.database(database);
-        found.ifPresent(d -> usedMillis.put(d.id(), nowMillis));
+        found.ifPresent(d -> lastUsedMillis.put(d.id(), nowMillis));
         return found;
     }
 
     /**
-     * Whether a database was used of late.
+     * Whether a database was used within the idle timeout.
      *
      * @param database the database
      */
     public boolean isUsed(DatabaseId database) {
-        return usedMillis.containsKey(database);
+        return lastUsedMillis.containsKey(database);
     }
 
-    /** The databases used of late, in order of their names. */
+    /** Returns the databases used within the idle timeout, ordered by name. */
     public Set<DatabaseId> usedDatabases() {
-        return new TreeSet<>(usedMillis.keySet());
+        return new TreeSet<>(lastUsedMillis.keySet());
     }
 
     /**
-     * The declared endpoints of a database; empty when the database is not declared.
+     * Returns the declared endpoints of a database; empty when the database is not declared.
      *
      * @param database the database
      */
@@ -82,16 +82,16 @@
     }
 
     /**
-     * Finds the declaration of the database that an endpoint belongs to.
+     * Returns the declaration of the database that an endpoint belongs to.
      *
      * @param endpoint the endpoint
      */
     public Optional<DatabaseDeclaration> databaseOf(EndpointId endpoint) {
-        return Optional.ofNullable(owners.get(endpoint)).flatMap(configuration::database);
+        return Optional.ofNullable(databasesByEndpoint.get(endpoint)).flatMap(configuration::database);
     }
 
     /**
-     * Finds the declaration of an endpoint.
+     * Returns the declaration of an endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Takes a hint, unless it is older than what is known or the endpoint is not declared.
+     * Stores a hint, unless it is older than the known status or the endpoint is not declared.
      *
      * @param hint the hint
      * @param nowMillis milliseconds of the monotonic clock
@@ -111,24 +111,25 @@
         EndpointStatus status = hint.status();
         long measured = nowMillis - hint.ageMillis();
         EndpointRow row = rows.get(status.endpoint());
-        if (owners.containsKey(status.endpoint()) && (row == null || row.isSupersededBy(status, measured))) {
+        if (databasesByEndpoint.containsKey(status.endpoint())
+                && (row == null || row.isSupersededBy(status, measured))) {
             rows.put(status.endpoint(), new EndpointRow(status, measured, hint.load()));
         }
     }
 
     /**
-     * Takes a position that an endpoint reported with an answer; ignored unless it is later in the term that is
-     * already known of the endpoint.
+     * Advances the applied position of an endpoint to one that it reported with a response. Ignored unless the position
+     * is a later one of the term in which the endpoint's applied position is known.
      *
      * @param endpoint the endpoint
-     * @param applied the position
+     * @param applied the reported position
      */
     public void observeApplied(EndpointId endpoint, LogPosition applied) {
-        rows.computeIfPresent(endpoint, (id, row) -> advanced(row, applied));
+        rows.computeIfPresent(endpoint, (id, row) -> withAppliedPosition(row, applied));
     }
 
     /**
-     * Counts a statement that is sent to an endpoint until its next hint arrives.
+     * Adds one statement to the load of an endpoint; the next hint overwrites the estimate.
      *
      * @param endpoint the endpoint
      */
@@ -137,7 +138,7 @@
     }
 
     /**
-     * Finds the row of an endpoint.
+     * Returns the row of an endpoint; empty when no hint is stored for it.
      *
      * @param endpoint the endpoint
      */
@@ -146,8 +147,8 @@
     }
 
     /**
-     * Finds the primary of the highest known term, unless a majority of the group is known to have accepted a higher
-     * term and therefore refuses to confirm its writes.
+     * Returns the primary of the highest known term, unless a majority of the group is known to have accepted a higher
+     * term: such a majority does not confirm the primary's writes.
      *
      * @param database the database
      */
@@ -156,12 +157,12 @@
                 .flatMap(e -> row(e.id()).stream())
                 .filter(r -> r.status().role() == EndpointRole.PRIMARY)
                 .max(Comparator.comparingLong(r -> r.status().acceptedTerm()));
-        return primary.filter(p -> leftTerm(database, p.status().acceptedTerm()) < database.majority());
+        return primary.filter(p -> countEndpointsAbove(database, p.status().acceptedTerm()) < database.majority());
     }
 
     /**
-     * Finds the primary that has replaced an endpoint: it is primary in a higher term than the one in which the
-     * endpoint is last known to have been primary.
+     * Returns the primary that has replaced an endpoint: a primary of a higher term than the one in which the endpoint
+     * was last known as primary.
      *
      * @param endpoint the endpoint
      */
@@ -177,10 +178,11 @@
     }
 
     /**
-     * Milliseconds since a primary is known to have been the primary of its group: as long ago as a majority was last
-     * in contact with it in its term.
+     * Returns the time since a primary was last known to be the primary of its group, in milliseconds: the age of the
+     * most recent time at which a majority, itself included, was in contact with it in its term;
+     * {@link Long#MAX_VALUE} when no majority is known to have been.
      *
-     * @param database the group
+     * @param database the database that the group serves
      * @param primary the row of the primary
      * @param nowMillis milliseconds of the monotonic clock
      */
@@ -197,31 +199,31 @@
     }
 
     /**
-     * Forgets databases that have not been used of late.
+     * Evicts databases that have exceeded the idle timeout, and rows of idle databases whose status is as old.
      *
      * @param nowMillis milliseconds of the monotonic clock
      */
     public void expire(long nowMillis) {
-        if (usedMillis.values().removeIf(used -> nowMillis - used > UNUSED_AFTER_MILLIS)) {
+        if (lastUsedMillis.values().removeIf(used -> nowMillis - used > DATABASE_IDLE_TIMEOUT_MILLIS)) {
             rows.entrySet()
-                    .removeIf(e -> !usedMillis.containsKey(owners.get(e.getKey()))
-                            && nowMillis - e.getValue().measuredMillis() > UNUSED_AFTER_MILLIS);
+                    .removeIf(e -> !lastUsedMillis.containsKey(databasesByEndpoint.get(e.getKey()))
+                            && nowMillis - e.getValue().measuredMillis() > DATABASE_IDLE_TIMEOUT_MILLIS);
         }
     }
 
-    /** The number of endpoints in the table. */
+    /** Returns the number of endpoints in the table. */
     public int size() {
         return rows.size();
     }
 
-    private long leftTerm(DatabaseDeclaration database, long term) {
+    private long countEndpointsAbove(DatabaseDeclaration database, long term) {
         return database.endpoints().stream()
                 .flatMap(e -> row(e.id()).stream())
                 .filter(r -> r.status().acceptedTerm() > term)
                 .count();
     }
 
-    private static EndpointRow advanced(EndpointRow row, LogPosition applied) {
+    private static EndpointRow withAppliedPosition(EndpointRow row, LogPosition applied) {
         EndpointStatus old = row.status();
         if (applied.term() != old.applied().term() || applied.compareTo(old.applied()) <= 0) {
             return row;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedEndpoint.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedEndpoint.java
@@ -137,15 +137,15 @@
         if (mutation == ProtocolMutation.PROMOTE_WITHOUT_FENCING) {
             return true;
         }
-        boolean sameCoordinator = coordinator.equals(fence.orderer()) || mutation == ProtocolMutation.REUSE_TERM;
+        boolean sameCoordinator = coordinator.equals(fence.coordinator()) || mutation == ProtocolMutation.REUSE_TERM;
         if (fence.term() == acceptedTerm) {
-            coordinator = fence.orderer();
+            coordinator = fence.coordinator();
             return sameCoordinator;
         }
         if (fence.term() < acceptedTerm) {
             return false;
         }
-        acceptTerm(fence.term(), fence.orderer(), nowMillis);
+        acceptTerm(fence.term(), fence.coordinator(), nowMillis);
         role = EndpointRole.FENCED;
         return true;
     }
@@ -153,7 +153,7 @@
     private boolean handlePromote(ControlRequest.Promote promote, long nowMillis) {
         boolean lenient = mutation == ProtocolMutation.PROMOTE_WITHOUT_FENCING && promote.term() >= acceptedTerm;
         boolean fenced = promote.term() == acceptedTerm
-                && (promote.orderer().equals(coordinator) || mutation == ProtocolMutation.REUSE_TERM);
+                && (promote.coordinator().equals(coordinator) || mutation == ProtocolMutation.REUSE_TERM);
         if (!fenced && !lenient) {
             return false;
         }
@@ -161,7 +161,7 @@
             acceptedTerm = promote.term();
             role = EndpointRole.PRIMARY;
             log.add(new LogEntry(acceptedTerm, NO_WRITE, nowMillis));
-            history.add(new History.EndpointPromoted(nowMillis, id, acceptedTerm, promote.orderer()));
+            history.add(new History.EndpointPromoted(nowMillis, id, acceptedTerm, promote.coordinator()));
         }
         return true;
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedWorkload.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/suite/SimulatedWorkload.java
@@ -164,7 +164,7 @@
                                 operation.effectiveRoute(), floor, operation.triedEndpoints, operation.startedMillis),
                         cluster.now());
         if (selection instanceof Selection.Wait wait) {
-            operation.retryMillis = wait.untilMillis();
+            operation.retryMillis = wait.retryAtMillis();
         } else if (selection instanceof Selection.Unavailable) {
             finish(operation, Result.NOT_RUN, null);
         } else if (selection instanceof Selection.Use use) {
