--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/BlockMatcher.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/BlockMatcher.java
@@ -11,51 +11,51 @@
 final class BlockMatcher {
 
     private static final int BLOCK_BYTES = 24;
-    private static final int FACTOR = 0x01000193;
+    private static final int HASH_FACTOR = 0x01000193;
 
     private final byte[] base;
     private final byte[] value;
-    private final Map<Integer, Integer> blocks = new HashMap<>();
-    private final int topFactor;
+    private final Map<Integer, Integer> offsetsByHash = new HashMap<>();
+    private final int leadingFactor;
 
     BlockMatcher(byte[] base, byte[] value) {
         this.base = base;
         this.value = value;
         int factor = 1;
         for (int i = 1; i < BLOCK_BYTES; i++) {
-            factor *= FACTOR;
+            factor *= HASH_FACTOR;
         }
-        this.topFactor = factor;
+        this.leadingFactor = factor;
         for (int offset = 0; offset + BLOCK_BYTES <= base.length; offset += BLOCK_BYTES) {
-            blocks.putIfAbsent(hash(base, offset), offset);
+            offsetsByHash.putIfAbsent(hashBlock(base, offset), offset);
         }
     }
 
     /** Writes a copy for each match, in order; what lies between is left to literals. */
-    void matchInto(DeltaWriter writer) {
+    void writeMatches(DeltaWriter writer) {
         int position = 0;
-        int hash = value.length >= BLOCK_BYTES ? hash(value, 0) : 0;
+        int hash = value.length >= BLOCK_BYTES ? hashBlock(value, 0) : 0;
         while (position + BLOCK_BYTES <= value.length) {
-            int found = find(position, hash, writer.shift());
+            int found = findInBase(position, hash, writer.copyShift());
             if (found < 0) {
-                hash = roll(hash, position);
+                hash = rollHash(hash, position);
                 position++;
                 continue;
             }
-            int back = commonBefore(found, position, position - writer.written());
-            int length = commonAfter(found, position);
-            writer.copy(found - back, position - back, back + length);
+            int lengthBefore = matchLengthBefore(found, position, position - writer.writtenBytes());
+            int length = matchLengthAfter(found, position);
+            writer.writeCopy(found - lengthBefore, position - lengthBefore, lengthBefore + length);
             position += length;
-            hash = position + BLOCK_BYTES <= value.length ? hash(value, position) : 0;
+            hash = position + BLOCK_BYTES <= value.length ? hashBlock(value, position) : 0;
         }
     }
 
     /** The place in the base of the block at a position, or -1; a place that goes on from the last copy is preferred. */
-    private int find(int position, int hash, int shift) {
-        if (isBlockAt(position + shift, position)) {
-            return position + shift;
+    private int findInBase(int position, int hash, int copyShift) {
+        if (isBlockAt(position + copyShift, position)) {
+            return position + copyShift;
         }
-        Integer offset = blocks.get(hash);
+        Integer offset = offsetsByHash.get(hash);
         return offset != null && isBlockAt(offset, position) ? offset : -1;
     }
 
@@ -65,12 +65,12 @@
                 && Arrays.equals(base, offset, offset + BLOCK_BYTES, value, position, position + BLOCK_BYTES);
     }
 
-    private int commonAfter(int offset, int position) {
+    private int matchLengthAfter(int offset, int position) {
         int mismatch = Arrays.mismatch(base, offset, base.length, value, position, value.length);
         return mismatch < 0 ? value.length - position : mismatch;
     }
 
-    private int commonBefore(int offset, int position, int limit) {
+    private int matchLengthBefore(int offset, int position, int limit) {
         int length = 0;
         while (length < limit && length < offset && base[offset - 1 - length] == value[position - 1 - length]) {
             length++;
@@ -78,15 +78,15 @@
         return length;
     }
 
-    private int roll(int hash, int position) {
+    private int rollHash(int hash, int position) {
         int next = position + BLOCK_BYTES;
-        return next < value.length ? (hash - value[position] * topFactor) * FACTOR + value[next] : 0;
+        return next < value.length ? (hash - value[position] * leadingFactor) * HASH_FACTOR + value[next] : 0;
     }
 
-    private static int hash(byte[] bytes, int offset) {
+    private static int hashBlock(byte[] bytes, int offset) {
         int hash = 0;
         for (int i = offset; i < offset + BLOCK_BYTES; i++) {
-            hash = hash * FACTOR + bytes[i];
+            hash = hash * HASH_FACTOR + bytes[i];
         }
         return hash;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CellReporter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CellReporter.java
@@ -23,85 +23,85 @@
  */
 final class CellReporter {
 
-    private static final String PREFIX = "status/cells/";
-    private static final long MIN_PERIOD_MILLIS = 500;
-    private static final long FAILURE_DELAY_MILLIS = 5_000;
+    private static final String PATH_PREFIX = "status/cells/";
+    private static final long MIN_REPORT_INTERVAL_MILLIS = 500;
+    private static final long RETRY_DELAY_MILLIS = 5_000;
     private static final long ANSWER_TIMEOUT_MILLIS = 30_000;
-    private static final int MAX_LAGGING = 20;
+    private static final int MAX_LISTED_LAGGING = 20;
 
     private final VmAddress self;
-    private final LongSupplier numbers;
-    private final Map<VmAddress, Long> versions = new HashMap<>();
-    private byte[] written = new byte[0];
+    private final LongSupplier callNumbers;
+    private final Map<VmAddress, Long> memberVersions = new HashMap<>();
+    private byte[] lastWritten = new byte[0];
     private long objectVersion = -1;
-    private long openCall;
-    private boolean open;
-    private long sentMillis;
+    private long openCallNumber;
+    private boolean callOpen;
+    private long callSentMillis;
     private long notBeforeMillis;
 
-    CellReporter(VmAddress self, LongSupplier numbers) {
+    CellReporter(VmAddress self, LongSupplier callNumbers) {
         this.self = self;
-        this.numbers = numbers;
+        this.callNumbers = callNumbers;
     }
 
     /** A member told its version. */
-    void saw(VmAddress member, long version) {
+    void recordVersion(VmAddress member, long version) {
         if (member.cell().equals(self.cell())) {
-            versions.merge(member, version, Math::max);
+            memberVersions.merge(member, version, Math::max);
         }
     }
 
     /** Writes the report when this VM is the first relay and the report differs from the one written last. */
-    void tick(boolean first, long ownVersion, List<VmAddress> others, long nowMillis, Outbox out) {
-        versions.keySet().retainAll(others);
-        if (!first) {
+    void tick(boolean isFirstRelay, long ownVersion, List<VmAddress> others, long nowMillis, Outbox out) {
+        memberVersions.keySet().retainAll(others);
+        if (!isFirstRelay) {
             objectVersion = -1;
             return;
         }
-        boolean waiting = open && nowMillis - sentMillis < ANSWER_TIMEOUT_MILLIS;
+        boolean waiting = callOpen && nowMillis - callSentMillis < ANSWER_TIMEOUT_MILLIS;
         if (waiting || nowMillis < notBeforeMillis || ownVersion == 0) {
             return;
         }
-        byte[] report = report(ownVersion, others);
-        if (objectVersion >= 0 && Arrays.equals(report, written)) {
+        byte[] report = createReport(ownVersion, others);
+        if (objectVersion >= 0 && Arrays.equals(report, lastWritten)) {
             return;
         }
-        send(report, nowMillis, out);
+        sendCall(report, nowMillis, out);
     }
 
     /** Takes the answer of the open call. */
-    void take(long call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
-        if (!open || call != openCall) {
+    void handleAnswer(long call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
+        if (!callOpen || call != openCallNumber) {
             return;
         }
-        open = false;
+        callOpen = false;
         if (result.isRight()) {
             objectVersion = result.get().version();
-            written = result.get().value();
+            lastWritten = result.get().value();
         } else {
             // The update may have taken effect, so the object is read again before the next one.
             objectVersion = -1;
-            notBeforeMillis = nowMillis + (isConflict(result.getLeft()) ? 0 : FAILURE_DELAY_MILLIS);
+            notBeforeMillis = nowMillis + (isConflict(result.getLeft()) ? 0 : RETRY_DELAY_MILLIS);
         }
     }
 
-    private void send(byte[] report, long nowMillis, Outbox out) {
-        open = true;
-        openCall = numbers.getAsLong();
-        sentMillis = nowMillis;
-        notBeforeMillis = nowMillis + MIN_PERIOD_MILLIS;
-        String path = PREFIX + self.cell();
+    private void sendCall(byte[] report, long nowMillis, Outbox out) {
+        callOpen = true;
+        openCallNumber = callNumbers.getAsLong();
+        callSentMillis = nowMillis;
+        notBeforeMillis = nowMillis + MIN_REPORT_INTERVAL_MILLIS;
+        String path = PATH_PREFIX + self.cell();
         out.add(
                 objectVersion < 0
-                        ? new Action.ReadObject(openCall, path)
-                        : new Action.UpdateObject(openCall, path, objectVersion, report));
+                        ? new Action.ReadObject(openCallNumber, path)
+                        : new Action.UpdateObject(openCallNumber, path, objectVersion, report));
     }
 
-    private byte[] report(long ownVersion, List<VmAddress> others) {
+    private byte[] createReport(long ownVersion, List<VmAddress> others) {
         long lowest = others.stream().mapToLong(this::versionOf).min().orElse(ownVersion);
         String lagging = others.stream()
                 .filter(m -> versionOf(m) < ownVersion)
-                .limit(MAX_LAGGING)
+                .limit(MAX_LISTED_LAGGING)
                 .map(m -> "{\"vm\":\"" + m.vm() + "\",\"version\":" + versionOf(m) + "}")
                 .collect(Collectors.joining(","));
         String json = "{\"cell\":\"" + self.cell() + "\",\"dataCentre\":\"" + self.dataCentre() + "\",\"reporter\":\""
@@ -111,7 +111,7 @@
     }
 
     private long versionOf(VmAddress member) {
-        return versions.getOrDefault(member, 0L);
+        return memberVersions.getOrDefault(member, 0L);
     }
 
     private static boolean isConflict(PlatformFailure failure) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationStatus.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationStatus.java
@@ -25,5 +25,5 @@
     boolean isReady();
 
     /** Subtrees whose latest value cannot be read; the last one that could stays in force. */
-    Map<TeamId, Failure> rejected();
+    Map<TeamId, Failure> rejectedTeams();
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
@@ -32,8 +32,8 @@
 public final class ConfigurationSystem implements DecisionSystem, ConfigurationStatus {
 
     private static final int MAX_PENDING_QUERIES = 128;
-    private static final long ELSEWHERE_DELAY_MILLIS = 500;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long MAX_OTHER_CELLS_DELAY_MILLIS = 500;
+    private static final long NEVER_CONFIRMED = Long.MIN_VALUE;
 
     private final ConfigurationSettings settings;
     private final SubtreeDecoder decoder;
@@ -41,15 +41,15 @@
     private final RelayRanking ranking;
     private final SubtreeStore store;
     private final PlatformWatch watch;
-    private final CatchUp catchUp;
+    private final SubtreeFetcher fetcher;
     private final StartupGate gate;
-    private final ByteBudget budget;
+    private final ByteRateLimiter pageLimiter;
     private final CellReporter reporter;
     private final Map<TeamId, TeamConfiguration> teams = new HashMap<>();
     private final Map<TeamId, Failure> rejected = new HashMap<>();
-    private final Map<Long, Long> queries = new LinkedHashMap<>();
-    private List<CellId> cells = List.of();
-    private long confirmedMillis = NEVER;
+    private final Map<Long, Long> pendingQueries = new LinkedHashMap<>();
+    private List<CellId> configuredCells = List.of();
+    private long confirmedMillis = NEVER_CONFIRMED;
     private long querySequence;
     private long nextQueryMillis;
     private long nextFallbackMillis;
@@ -60,25 +60,25 @@
      * @param view the VMs that this one knows
      * @param decoder reads the values of teams' objects
      * @param settings times and bounds
-     * @param numbers numbers calls uniquely within this VM
+     * @param callNumbers numbers calls uniquely within this VM
      * @param random source of randomness
      */
     public ConfigurationSystem(
             MembershipView view,
             SubtreeDecoder decoder,
             ConfigurationSettings settings,
-            LongSupplier numbers,
+            LongSupplier callNumbers,
             RandomGenerator random) {
         this.settings = settings;
         this.decoder = decoder;
         this.random = random;
         this.ranking = new RelayRanking(view, random);
-        this.store = new SubtreeStore(settings.olderBytes());
-        this.watch = new PlatformWatch(settings, numbers, random);
-        this.catchUp = new CatchUp(store, settings, random);
+        this.store = new SubtreeStore(settings.maxOlderBytes());
+        this.watch = new PlatformWatch(settings, callNumbers, random);
+        this.fetcher = new SubtreeFetcher(store, settings, random);
         this.gate = new StartupGate(settings.answerTimeoutMillis());
-        this.reporter = new CellReporter(view.self(), numbers);
-        this.budget = new ByteBudget(settings.serveBytesPerSecond());
+        this.reporter = new CellReporter(view.self(), callNumbers);
+        this.pageLimiter = new ByteRateLimiter(settings.serveBytesPerSecond());
     }
 
     @Override
@@ -88,12 +88,12 @@
 
     @Override
     public long highestKnownVersion() {
-        return Math.max(store.version(), catchUp.highest());
+        return Math.max(store.version(), fetcher.highestAnnouncedVersion());
     }
 
     @Override
     public long ageMillis(long nowMillis) {
-        return confirmedMillis == NEVER ? Long.MAX_VALUE : Math.max(0, nowMillis - confirmedMillis);
+        return confirmedMillis == NEVER_CONFIRMED ? Long.MAX_VALUE : Math.max(0, nowMillis - confirmedMillis);
     }
 
     @Override
@@ -102,131 +102,134 @@
     }
 
     @Override
-    public Map<TeamId, Failure> rejected() {
+    public Map<TeamId, Failure> rejectedTeams() {
         return Map.copyOf(rejected);
     }
 
     @Override
     public void tick(long nowMillis, Outbox out) {
         gate.start(nowMillis);
-        boolean relay = ranking.isRelay(settings.relays());
-        if (relay && gate.mayWatch(store.version(), nowMillis)) {
-            watch.open(store.version(), nowMillis, out);
+        boolean isRelay = ranking.isRelay(settings.relaysPerCell());
+        if (isRelay && gate.mayWatch(store.version(), nowMillis)) {
+            watch.openIfDue(store.version(), nowMillis, out);
         }
         if (!gate.isReady()) {
-            gate.toAsk(ranking.others(), nowMillis).forEach(m -> query(m, nowMillis, out));
+            gate.markQueried(ranking.otherMembers(), nowMillis).forEach(m -> sendQuery(m, nowMillis, out));
         }
-        queryIfDue(nowMillis, out);
-        fallBackIfDue(relay, nowMillis, out);
-        catchUp.tick(nowMillis, out);
-        gate.update(store.version(), catchUp.isBehind(), ageMillis(nowMillis), nowMillis);
-        reporter.tick(ranking.isRelay(1), store.version(), ranking.others(), nowMillis, out);
+        sendQueryIfDue(nowMillis, out);
+        fallBackIfDue(isRelay, nowMillis, out);
+        fetcher.tick(nowMillis, out);
+        gate.updateReadiness(store.version(), fetcher.isBehind(), ageMillis(nowMillis), nowMillis);
+        reporter.tick(ranking.isRelay(1), store.version(), ranking.otherMembers(), nowMillis, out);
     }
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.PrefixAnswered answered && watch.take(answered.call())) {
+        if (event instanceof Event.PrefixAnswered answered && watch.closeCall(answered.call())) {
             answered.result()
-                    .peek(changes -> takeChanges(changes, nowMillis, out))
-                    .peekLeft(failure -> watch.failed(failure, nowMillis));
+                    .peek(changes -> handleChanges(changes, nowMillis, out))
+                    .peekLeft(failure -> watch.recordFailure(failure, nowMillis));
         } else if (event instanceof Event.ObjectAnswered answered) {
-            reporter.take(answered.call(), answered.result(), nowMillis);
+            reporter.handleAnswer(answered.call(), answered.result(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
-            receive(received.from(), received.message(), nowMillis, out);
+            handleMessage(received.from(), received.message(), nowMillis, out);
         } else if (event instanceof Event.LinkFailed failed) {
-            catchUp.linkFailed(failed.to());
-            gate.done(failed.to());
+            fetcher.removeSource(failed.to());
+            gate.markAnswered(failed.to());
         }
     }
 
-    private void receive(VmAddress from, PeerMessage message, long nowMillis, Outbox out) {
+    private void handleMessage(VmAddress from, PeerMessage message, long nowMillis, Outbox out) {
         if (message instanceof ConfigurationQuery query) {
-            out.add(new Action.SendMessage(from, announcement(query.sequence(), nowMillis)));
-            hear(from, query.version(), nowMillis, out);
+            out.add(new Action.SendMessage(from, createAnnouncement(query.sequence(), nowMillis)));
+            recordPeerVersion(from, query.version(), nowMillis, out);
         } else if (message instanceof ConfigurationAnnouncement announcement) {
-            takeAnnouncement(from, announcement, nowMillis, out);
+            handleAnnouncement(from, announcement, nowMillis, out);
         } else if (message instanceof ConfigurationRequest request) {
-            serve(from, request, nowMillis, out);
+            sendPage(from, request, nowMillis, out);
         } else if (message instanceof ConfigurationPage page) {
-            catchUp.take(from, page, nowMillis, out).forEach(w -> apply(w.subtrees(), w.version(), nowMillis, out));
+            fetcher.handlePage(from, page, nowMillis, out)
+                    .forEach(w -> applyVersion(w.subtrees(), w.version(), nowMillis, out));
         }
     }
 
-    private void hear(VmAddress from, long version, long nowMillis, Outbox out) {
-        reporter.saw(from, version);
+    private void recordPeerVersion(VmAddress from, long version, long nowMillis, Outbox out) {
+        reporter.recordVersion(from, version);
         if (version > store.version()) {
-            catchUp.heard(from, version);
-            catchUp.tick(nowMillis, out);
+            fetcher.recordVersion(from, version);
+            fetcher.tick(nowMillis, out);
         }
     }
 
     /** An answer confirms what it says as of the time of the question, however long it was under way. */
-    private void takeAnnouncement(VmAddress from, ConfigurationAnnouncement announcement, long nowMillis, Outbox out) {
-        Long askedMillis = queries.remove(announcement.sequence());
-        hear(from, announcement.version(), nowMillis, out);
-        if (askedMillis == null) {
+    private void handleAnnouncement(
+            VmAddress from, ConfigurationAnnouncement announcement, long nowMillis, Outbox out) {
+        Long querySentMillis = pendingQueries.remove(announcement.sequence());
+        recordPeerVersion(from, announcement.version(), nowMillis, out);
+        if (querySentMillis == null) {
             return;
         }
-        gate.done(from);
+        gate.markAnswered(from);
         if (announcement.ageMillis() >= 0 && announcement.version() <= store.version() && store.version() > 0) {
-            confirmedMillis = Math.max(confirmedMillis, askedMillis - announcement.ageMillis());
+            confirmedMillis = Math.max(confirmedMillis, querySentMillis - announcement.ageMillis());
         }
     }
 
-    private void serve(VmAddress from, ConfigurationRequest request, long nowMillis, Outbox out) {
-        long busyMillis = budget.waitMillis(nowMillis);
+    private void sendPage(VmAddress from, ConfigurationRequest request, long nowMillis, Outbox out) {
+        long busyMillis = pageLimiter.waitMillis(nowMillis);
         if (busyMillis > 0) {
             out.add(new Action.SendMessage(
                     from, new ConfigurationPage(request.sequence(), 0, store.version(), List.of(), busyMillis)));
             return;
         }
-        ConfigurationPage page = store.page(request, settings.pageBytes());
-        budget.spend(page.changes().stream().mapToLong(c -> c.encoded().length).sum());
+        ConfigurationPage page = store.createPage(request, settings.pageBytes());
+        pageLimiter.consume(
+                page.changes().stream().mapToLong(c -> c.encoded().length).sum());
         out.add(new Action.SendMessage(from, page));
     }
 
-    private void takeChanges(PrefixChanges changes, long nowMillis, Outbox out) {
-        watch.succeeded();
-        confirmedMillis = Math.max(confirmedMillis, watch.sentMillis());
+    private void handleChanges(PrefixChanges changes, long nowMillis, Outbox out) {
+        watch.recordSuccess();
+        confirmedMillis = Math.max(confirmedMillis, watch.lastSentMillis());
         long version = changes.objects().stream()
                 .mapToLong(StoredObject::version)
                 .max()
                 .orElse(0);
         if (version > store.version()) {
-            catchUp.restart();
-            apply(subtrees(changes), version, nowMillis, out);
-            ConfigurationAnnouncement announcement = announcement(0, nowMillis);
-            ranking.others().forEach(m -> out.add(new Action.SendMessage(m, announcement)));
+            fetcher.reset();
+            applyVersion(subtrees(changes), version, nowMillis, out);
+            ConfigurationAnnouncement announcement = createAnnouncement(0, nowMillis);
+            ranking.otherMembers().forEach(m -> out.add(new Action.SendMessage(m, announcement)));
         }
-        if (ranking.isRelay(settings.relays())) {
-            watch.open(store.version(), nowMillis, out);
+        if (ranking.isRelay(settings.relaysPerCell())) {
+            watch.openIfDue(store.version(), nowMillis, out);
         }
     }
 
     private static List<Subtree> subtrees(PrefixChanges changes) {
         List<Subtree> result = new ArrayList<>();
         for (StoredObject object : changes.objects()) {
-            teamOf(object.path()).forEach(t -> result.add(new Subtree(t, object.version(), object.value())));
+            parseTeam(object.path()).forEach(t -> result.add(new Subtree(t, object.version(), object.value())));
         }
         return result;
     }
 
     /** The team of an object, or nothing when the object is not one of ours. */
-    private static List<TeamId> teamOf(String path) {
+    private static List<TeamId> parseTeam(String path) {
         try {
-            return List.of(new TeamId(path.substring(PlatformWatch.PREFIX.length())));
+            return List.of(new TeamId(path.substring(PlatformWatch.TEAMS_PATH_PREFIX.length())));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             return List.of();
         }
     }
 
-    private void apply(Collection<Subtree> subtrees, long version, long nowMillis, Outbox out) {
+    private void applyVersion(Collection<Subtree> subtrees, long version, long nowMillis, Outbox out) {
         if (version <= store.version()) {
             return;
         }
-        store.apply(subtrees, version).forEach(this::decode);
+        store.apply(subtrees, version).forEach(this::decodeSubtree);
         Configuration configuration = new Configuration(version, teams);
-        cells = configuration.databases().values().stream()
+        configuredCells = configuration.databases().values().stream()
                 .flatMap(d -> d.endpoints().stream())
                 .map(EndpointDeclaration::cell)
                 .distinct()
@@ -234,21 +237,22 @@
         out.add(new Action.ApplyConfiguration(configuration));
         if (!gate.isReady()) {
             // The cells are known now; those elsewhere are asked soon, not at the next regular time.
-            nextFallbackMillis = Math.min(nextFallbackMillis, nowMillis + random.nextLong(ELSEWHERE_DELAY_MILLIS));
+            nextFallbackMillis =
+                    Math.min(nextFallbackMillis, nowMillis + random.nextLong(MAX_OTHER_CELLS_DELAY_MILLIS));
         }
-        reportApplied(nowMillis, out);
-        gate.update(version, catchUp.isBehind(), ageMillis(nowMillis), nowMillis);
+        announceToReporter(nowMillis, out);
+        gate.updateReadiness(version, fetcher.isBehind(), ageMillis(nowMillis), nowMillis);
     }
 
     /** Tells the VM that reports for the cell, so that operators need not wait for the next query. */
-    private void reportApplied(long nowMillis, Outbox out) {
-        ConfigurationAnnouncement announcement = announcement(0, nowMillis);
-        ranking.first(1).stream()
+    private void announceToReporter(long nowMillis, Outbox out) {
+        ConfigurationAnnouncement announcement = createAnnouncement(0, nowMillis);
+        ranking.topRanked(1).stream()
                 .filter(r -> !r.equals(ranking.self()))
                 .forEach(r -> out.add(new Action.SendMessage(r, announcement)));
     }
 
-    private void decode(Subtree subtree) {
+    private void decodeSubtree(Subtree subtree) {
         rejected.remove(subtree.team());
         if (subtree.value().length == 0) {
             teams.remove(subtree.team());
@@ -260,27 +264,27 @@
         result.peekLeft(f -> rejected.put(subtree.team(), f));
     }
 
-    private ConfigurationAnnouncement announcement(long sequence, long nowMillis) {
+    private ConfigurationAnnouncement createAnnouncement(long sequence, long nowMillis) {
         long age = ageMillis(nowMillis);
         return new ConfigurationAnnouncement(sequence, store.version(), age == Long.MAX_VALUE ? -1 : age);
     }
 
-    private void queryIfDue(long nowMillis, Outbox out) {
+    private void sendQueryIfDue(long nowMillis, Outbox out) {
         if (nowMillis < nextQueryMillis) {
             return;
         }
-        nextQueryMillis = nowMillis + jittered(settings.queryMillis());
-        List<VmAddress> others = ranking.others();
+        nextQueryMillis = nowMillis + jitter(settings.queryIntervalMillis());
+        List<VmAddress> others = ranking.otherMembers();
         if (!others.isEmpty()) {
-            query(others.get(random.nextInt(others.size())), nowMillis, out);
+            sendQuery(others.get(random.nextInt(others.size())), nowMillis, out);
         }
     }
 
-    private void query(VmAddress member, long nowMillis, Outbox out) {
+    private void sendQuery(VmAddress member, long nowMillis, Outbox out) {
         querySequence++;
-        queries.put(querySequence, nowMillis);
-        if (queries.size() > MAX_PENDING_QUERIES) {
-            queries.remove(queries.keySet().iterator().next());
+        pendingQueries.put(querySequence, nowMillis);
+        if (pendingQueries.size() > MAX_PENDING_QUERIES) {
+            pendingQueries.remove(pendingQueries.keySet().iterator().next());
         }
         out.add(new Action.SendMessage(member, new ConfigurationQuery(querySequence, store.version())));
     }
@@ -289,23 +293,23 @@
      * When the relays of the cell do not confirm the version, the others ask the platform at a rate that is bounded for
      * the cell, and relays ask other cells.
      */
-    private void fallBackIfDue(boolean relay, long nowMillis, Outbox out) {
-        boolean starting = gate.wantsPlatform(ageMillis(nowMillis), nowMillis);
-        boolean stale = gate.isReady() && ageMillis(nowMillis) > settings.staleMillis();
+    private void fallBackIfDue(boolean isRelay, long nowMillis, Outbox out) {
+        boolean starting = gate.shouldQueryPlatform(ageMillis(nowMillis), nowMillis);
+        boolean stale = gate.isReady() && ageMillis(nowMillis) > settings.staleAfterMillis();
         if ((!starting && !stale) || nowMillis < nextFallbackMillis) {
             return;
         }
-        int members = ranking.others().size() + 1;
-        nextFallbackMillis = nowMillis + jittered(settings.fallbackMillis() * (relay ? 1 : members));
-        if (!relay) {
-            watch.open(store.version(), nowMillis, out);
+        int members = ranking.otherMembers().size() + 1;
+        nextFallbackMillis = nowMillis + jitter(settings.fallbackIntervalMillis() * (isRelay ? 1 : members));
+        if (!isRelay) {
+            watch.openIfDue(store.version(), nowMillis, out);
         }
-        if (relay || starting) {
-            ranking.elsewhere(cells).forEach(m -> query(m, nowMillis, out));
+        if (isRelay || starting) {
+            ranking.chooseMemberOfOtherCell(configuredCells).forEach(m -> sendQuery(m, nowMillis, out));
         }
     }
 
-    private long jittered(long millis) {
+    private long jitter(long millis) {
         return millis / 2 + random.nextLong(millis + 1);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaReader.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaReader.java
@@ -8,12 +8,12 @@
 /** Reads what {@link DeltaWriter} writes; lengths and places beyond their bounds are refused. */
 final class DeltaReader {
 
-    private static final int MAX_SHIFT = 28;
+    private static final int MAX_VARINT_SHIFT = 28;
 
     private final byte[] base;
     private final ByteBuffer in;
     private final ByteArrayOutputStream value = new ByteArrayOutputStream();
-    private int baseEnd;
+    private int previousCopyEnd;
 
     private DeltaReader(byte[] base, byte[] delta) {
         this.base = base;
@@ -28,41 +28,41 @@
      */
     static byte[] read(byte[] base, byte[] delta) throws DataFormatException {
         DeltaReader reader = new DeltaReader(base, delta);
-        reader.literal();
+        reader.readLiteral();
         while (reader.in.hasRemaining()) {
-            reader.copy();
-            reader.literal();
+            reader.readCopy();
+            reader.readLiteral();
         }
         return reader.value.toByteArray();
     }
 
-    private void literal() throws DataFormatException {
-        int length = length(in.remaining());
+    private void readLiteral() throws DataFormatException {
+        int length = readLength(in.remaining());
         value.write(in.array(), in.position(), length);
         in.position(in.position() + length);
     }
 
-    private void copy() throws DataFormatException {
-        int length = length(base.length);
-        int offset = baseEnd + unzigzag(number());
+    private void readCopy() throws DataFormatException {
+        int length = readLength(base.length);
+        int offset = previousCopyEnd + decodeZigZag(readVarint());
         if (offset < 0 || offset > base.length - length) {
             throw new DataFormatException("a copy lies outside the base");
         }
         value.write(base, offset, length);
-        baseEnd = offset + length;
+        previousCopyEnd = offset + length;
     }
 
-    private int length(int limit) throws DataFormatException {
-        int length = number();
+    private int readLength(int limit) throws DataFormatException {
+        int length = readVarint();
         if (length < 0 || length > limit || value.size() + length > SubtreeDelta.MAX_VALUE_BYTES) {
             throw new DataFormatException("a length is out of bounds: " + length);
         }
         return length;
     }
 
-    private int number() throws DataFormatException {
+    private int readVarint() throws DataFormatException {
         int number = 0;
-        for (int shift = 0; shift <= MAX_SHIFT; shift += 7) {
+        for (int shift = 0; shift <= MAX_VARINT_SHIFT; shift += 7) {
             byte next = in.get();
             number |= (next & 0x7f) << shift;
             if (next >= 0) {
@@ -72,7 +72,7 @@
         throw new DataFormatException("a number is too long");
     }
 
-    private static int unzigzag(int number) {
+    private static int decodeZigZag(int number) {
         return (number >>> 1) ^ -(number & 1);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaWriter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaWriter.java
@@ -10,45 +10,45 @@
 
     private final byte[] value;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-    private int written;
-    private int baseEnd;
+    private int writtenBytes;
+    private int previousCopyEnd;
 
     DeltaWriter(byte[] value) {
         this.value = value;
     }
 
     /** Bytes of the value that are written so far. */
-    int written() {
-        return written;
+    int writtenBytes() {
+        return writtenBytes;
     }
 
     /** What is added to a position of the value to get to its place in the base if the last copy went on. */
-    int shift() {
-        return baseEnd - written;
+    int copyShift() {
+        return previousCopyEnd - writtenBytes;
     }
 
     /** Writes the literal up to a position and a copy of the bytes from there. */
-    void copy(int offset, int position, int length) {
-        literal(position);
-        writeNumber(length);
-        writeNumber(zigzag(offset - baseEnd));
-        written = position + length;
-        baseEnd = offset + length;
+    void writeCopy(int offset, int position, int length) {
+        writeLiteral(position);
+        writeVarint(length);
+        writeVarint(encodeZigZag(offset - previousCopyEnd));
+        writtenBytes = position + length;
+        previousCopyEnd = offset + length;
     }
 
     /** Writes what is left as a literal and returns the delta. */
     byte[] finish() {
-        literal(value.length);
+        writeLiteral(value.length);
         return out.toByteArray();
     }
 
-    private void literal(int end) {
-        writeNumber(end - written);
-        out.write(value, written, end - written);
-        written = end;
+    private void writeLiteral(int end) {
+        writeVarint(end - writtenBytes);
+        out.write(value, writtenBytes, end - writtenBytes);
+        writtenBytes = end;
     }
 
-    private void writeNumber(int number) {
+    private void writeVarint(int number) {
         int rest = number;
         while ((rest & ~0x7f) != 0) {
             out.write((rest & 0x7f) | 0x80);
@@ -57,7 +57,7 @@
         out.write(rest);
     }
 
-    private static int zigzag(int number) {
+    private static int encodeZigZag(int number) {
         return (number << 1) ^ (number >> 31);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/PlatformWatch.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/PlatformWatch.java
@@ -9,60 +9,63 @@
 /** The one call to the platform that a VM has open, and the delay of the next after a failure. */
 final class PlatformWatch {
 
-    static final String PREFIX = "config/teams/";
+    static final String TEAMS_PATH_PREFIX = "config/teams/";
 
     private final ConfigurationSettings settings;
-    private final LongSupplier numbers;
+    private final LongSupplier callNumbers;
     private final RandomGenerator random;
-    private long openCall;
-    private boolean open;
-    private long sentMillis;
-    private long delayMillis;
+    private long openCallNumber;
+    private boolean callOpen;
+    private long lastSentMillis;
+    private long retryDelayMillis;
     private long notBeforeMillis;
 
-    PlatformWatch(ConfigurationSettings settings, LongSupplier numbers, RandomGenerator random) {
+    PlatformWatch(ConfigurationSettings settings, LongSupplier callNumbers, RandomGenerator random) {
         this.settings = settings;
-        this.numbers = numbers;
+        this.callNumbers = callNumbers;
         this.random = random;
     }
 
     /** Opens the call unless one is open or the delay has not passed. */
-    void open(long afterVersion, long nowMillis, Outbox out) {
+    void openIfDue(long afterVersion, long nowMillis, Outbox out) {
         if (isOpen(nowMillis) || nowMillis < notBeforeMillis) {
             return;
         }
-        openCall = numbers.getAsLong();
-        open = true;
-        sentMillis = nowMillis;
-        out.add(new Action.WatchPrefix(openCall, PREFIX, afterVersion));
+        openCallNumber = callNumbers.getAsLong();
+        callOpen = true;
+        lastSentMillis = nowMillis;
+        out.add(new Action.WatchPrefix(openCallNumber, TEAMS_PATH_PREFIX, afterVersion));
     }
 
     boolean isOpen(long nowMillis) {
-        return open && nowMillis - sentMillis < settings.watchTimeoutMillis();
+        return callOpen && nowMillis - lastSentMillis < settings.watchTimeoutMillis();
     }
 
     /** Takes the answer of the open call; false when it belongs to another. */
-    boolean take(long call) {
-        if (!open || call != openCall) {
+    boolean closeCall(long call) {
+        if (!callOpen || call != openCallNumber) {
             return false;
         }
-        open = false;
+        callOpen = false;
         return true;
     }
 
     /** When the call that was answered last was sent. */
-    long sentMillis() {
-        return sentMillis;
+    long lastSentMillis() {
+        return lastSentMillis;
     }
 
-    void succeeded() {
-        delayMillis = 0;
+    void recordSuccess() {
+        retryDelayMillis = 0;
     }
 
-    void failed(PlatformFailure failure, long nowMillis) {
-        delayMillis =
-                delayMillis == 0 ? settings.minRetryMillis() : Math.min(settings.maxRetryMillis(), delayMillis * 2);
-        long asked = failure instanceof PlatformFailure.Throttled throttled ? throttled.retryAfterMillis() : 0;
-        notBeforeMillis = nowMillis + asked + delayMillis / 2 + random.nextLong(delayMillis / 2 + 1);
+    void recordFailure(PlatformFailure failure, long nowMillis) {
+        retryDelayMillis = retryDelayMillis == 0
+                ? settings.minRetryDelayMillis()
+                : Math.min(settings.maxRetryDelayMillis(), retryDelayMillis * 2);
+        long requestedDelayMillis =
+                failure instanceof PlatformFailure.Throttled throttled ? throttled.retryAfterMillis() : 0;
+        notBeforeMillis =
+                nowMillis + requestedDelayMillis + retryDelayMillis / 2 + random.nextLong(retryDelayMillis / 2 + 1);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
@@ -13,15 +13,15 @@
  */
 final class RelayRanking {
 
-    private static final String KEY = "relay";
-    private static final int CELLS_ELSEWHERE = 2;
+    private static final String RANKING_KEY = "relay";
+    private static final int MAX_OTHER_CELLS = 2;
 
     private final MembershipView view;
     private final RandomGenerator random;
     private List<VmAddress> ranked = List.of();
-    private List<VmAddress> others = List.of();
+    private List<VmAddress> otherMembers = List.of();
     private long rankedVersion;
-    private boolean isRanked;
+    private boolean initialized;
 
     RelayRanking(MembershipView view, RandomGenerator random) {
         this.view = view;
@@ -33,28 +33,28 @@
     }
 
     /** The other live members of the own cell. */
-    List<VmAddress> others() {
+    List<VmAddress> otherMembers() {
         refresh();
-        return others;
+        return otherMembers;
     }
 
     /** Whether this VM is among the first live members. */
-    boolean isRelay(int relays) {
-        return first(relays).contains(self());
+    boolean isRelay(int count) {
+        return topRanked(count).contains(self());
     }
 
     /** The first live members that are not suspected. */
-    List<VmAddress> first(int count) {
+    List<VmAddress> topRanked(int count) {
         refresh();
         return ranked.subList(0, Math.min(count, ranked.size()));
     }
 
     /** A random live member of one of the few other cells that this VM asks. */
-    List<VmAddress> elsewhere(List<CellId> cells) {
+    List<VmAddress> chooseMemberOfOtherCell(List<CellId> cells) {
         List<VmAddress> members = cells.stream()
                 .filter(c -> !c.equals(self().cell()))
                 .sorted(RendezvousUtils.byScore(self().vm().value(), CellId::value))
-                .limit(CELLS_ELSEWHERE)
+                .limit(MAX_OTHER_CELLS)
                 .flatMap(c -> view.live(c).stream())
                 .filter(a -> !view.isSuspected(a))
                 .toList();
@@ -62,16 +62,16 @@
     }
 
     private void refresh() {
-        if (isRanked && rankedVersion == view.version()) {
+        if (initialized && rankedVersion == view.version()) {
             return;
         }
         List<VmAddress> live = view.live(self().cell());
-        others = live.stream().filter(a -> !a.equals(self())).toList();
+        otherMembers = live.stream().filter(a -> !a.equals(self())).toList();
         ranked = live.stream()
                 .filter(a -> a.equals(self()) || !view.isSuspected(a))
-                .sorted(RendezvousUtils.byScore(KEY, a -> a.vm().value()))
+                .sorted(RendezvousUtils.byScore(RANKING_KEY, a -> a.vm().value()))
                 .toList();
         rankedVersion = view.version();
-        isRanked = true;
+        initialized = true;
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/StartupGate.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/StartupGate.java
@@ -14,11 +14,11 @@
 final class StartupGate {
 
     private static final long UNCONFIRMED_DELAY_MILLIS = 3_000;
-    private static final long FRESH_MILLIS = 15_000;
-    private static final long DONE = Long.MIN_VALUE;
+    private static final long MAX_CONFIRMED_AGE_MILLIS = 15_000;
+    private static final long ANSWERED = Long.MIN_VALUE;
 
     private final long answerTimeoutMillis;
-    private final Map<VmAddress, Long> asked = new HashMap<>();
+    private final Map<VmAddress, Long> queriedMillis = new HashMap<>();
     private long startMillis = Long.MIN_VALUE;
     private boolean ready;
 
@@ -38,22 +38,22 @@
     }
 
     /** The members that are still to be asked; they count as asked from now on. */
-    List<VmAddress> toAsk(List<VmAddress> members, long nowMillis) {
+    List<VmAddress> markQueried(List<VmAddress> members, long nowMillis) {
         return members.stream()
-                .filter(m -> asked.putIfAbsent(m, nowMillis) == null)
+                .filter(m -> queriedMillis.putIfAbsent(m, nowMillis) == null)
                 .toList();
     }
 
     /** A member answered or cannot be reached. */
-    void done(VmAddress member) {
+    void markAnswered(VmAddress member) {
         if (!ready) {
-            asked.put(member, DONE);
+            queriedMillis.put(member, ANSWERED);
         }
     }
 
     /** Whether the platform is to be asked directly, because no member has a version that it confirmed lately. */
-    boolean wantsPlatform(long ageMillis, long nowMillis) {
-        return !ready && ageMillis > FRESH_MILLIS && nowMillis - startMillis >= answerTimeoutMillis / 2;
+    boolean shouldQueryPlatform(long ageMillis, long nowMillis) {
+        return !ready && ageMillis > MAX_CONFIRMED_AGE_MILLIS && nowMillis - startMillis >= answerTimeoutMillis / 2;
     }
 
     /** Whether a relay may watch the platform: a VM without a version lets its peers answer first. */
@@ -61,17 +61,17 @@
         return ready || version > 0 || nowMillis - startMillis >= answerTimeoutMillis / 2;
     }
 
-    void update(long version, boolean behind, long ageMillis, long nowMillis) {
-        if (ready || version == 0 || behind || isAwaiting(nowMillis)) {
+    void updateReadiness(long version, boolean behind, long ageMillis, long nowMillis) {
+        if (ready || version == 0 || behind || hasPendingQuery(nowMillis)) {
             return;
         }
-        ready = ageMillis <= FRESH_MILLIS || nowMillis - startMillis >= UNCONFIRMED_DELAY_MILLIS;
+        ready = ageMillis <= MAX_CONFIRMED_AGE_MILLIS || nowMillis - startMillis >= UNCONFIRMED_DELAY_MILLIS;
         if (ready) {
-            asked.clear();
+            queriedMillis.clear();
         }
     }
 
-    private boolean isAwaiting(long nowMillis) {
-        return asked.values().stream().anyMatch(t -> t != DONE && nowMillis - t < answerTimeoutMillis);
+    private boolean hasPendingQuery(long nowMillis) {
+        return queriedMillis.values().stream().anyMatch(t -> t != ANSWERED && nowMillis - t < answerTimeoutMillis);
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeDelta.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeDelta.java
@@ -34,7 +34,7 @@
      */
     public static byte[] encode(byte[] base, byte[] value) {
         DeltaWriter writer = new DeltaWriter(value);
-        new BlockMatcher(base, value).matchInto(writer);
+        new BlockMatcher(base, value).writeMatches(writer);
         byte[] compressed = deflate(writer.finish());
         return ByteBuffer.allocate(HEADER_BYTES + compressed.length)
                 .putInt(Arrays.hashCode(value))
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CatchUp.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeFetcher.java
@@ -20,7 +20,7 @@
  * version of each subtree; the pages are therefore whole only when they reach the highest version that any sender of
  * them had.
  */
-final class CatchUp {
+final class SubtreeFetcher {
 
     private static final int MAX_SOURCES = 64;
 
@@ -30,23 +30,23 @@
     private final Map<VmAddress, Long> sources = new LinkedHashMap<>();
     private final Map<TeamId, Subtree> staged = new HashMap<>();
     private long cursor;
-    private long target;
-    private long highest;
-    private boolean whole;
-    private VmAddress asked;
+    private long targetVersion;
+    private long highestAnnouncedVersion;
+    private boolean withoutBase;
+    private VmAddress awaitedPeer;
     private long sequence;
-    private long askedMillis;
+    private long requestSentMillis;
     private long notBeforeMillis;
 
-    CatchUp(SubtreeStore store, ConfigurationSettings settings, RandomGenerator random) {
+    SubtreeFetcher(SubtreeStore store, ConfigurationSettings settings, RandomGenerator random) {
         this.store = store;
         this.settings = settings;
         this.random = random;
     }
 
     /** The highest version that a peer has announced. */
-    long highest() {
-        return highest;
+    long highestAnnouncedVersion() {
+        return highestAnnouncedVersion;
     }
 
     /** Whether a peer that has not failed since has announced a higher version than the one in force. */
@@ -55,8 +55,8 @@
     }
 
     /** Remembers that a peer has a version. */
-    void heard(VmAddress from, long version) {
-        highest = Math.max(highest, version);
+    void recordVersion(VmAddress from, long version) {
+        highestAnnouncedVersion = Math.max(highestAnnouncedVersion, version);
         if (version <= store.version()) {
             return;
         }
@@ -69,88 +69,89 @@
 
     /** Asks a peer when one is known to have a higher version and no answer is awaited. */
     void tick(long nowMillis, Outbox out) {
-        if (asked != null && nowMillis - askedMillis > settings.answerTimeoutMillis()) {
-            sources.remove(asked);
-            asked = null;
+        if (awaitedPeer != null && nowMillis - requestSentMillis > settings.answerTimeoutMillis()) {
+            sources.remove(awaitedPeer);
+            awaitedPeer = null;
         }
-        if (asked != null || nowMillis < notBeforeMillis) {
+        if (awaitedPeer != null || nowMillis < notBeforeMillis) {
             return;
         }
         sources.values().removeIf(v -> v <= store.version());
-        pickSource().ifPresent(s -> ask(s, nowMillis, out));
+        chooseSource().ifPresent(s -> sendRequest(s, nowMillis, out));
     }
 
-    void linkFailed(VmAddress to) {
+    void removeSource(VmAddress to) {
         sources.remove(to);
-        if (to.equals(asked)) {
-            asked = null;
+        if (to.equals(awaitedPeer)) {
+            awaitedPeer = null;
         }
     }
 
     /** Takes a page; gives the staged subtrees and their version when they are whole. */
-    Option<Whole> take(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
-        if (!from.equals(asked) || page.sequence() != sequence) {
+    Option<CompleteVersion> handlePage(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
+        if (!from.equals(awaitedPeer) || page.sequence() != sequence) {
             return Option.none();
         }
-        asked = null;
+        awaitedPeer = null;
         if (page.retryAfterMillis() > 0) {
             notBeforeMillis = nowMillis + random.nextLong(page.retryAfterMillis() + 1);
             return Option.none();
         }
-        if (!stage(page)) {
-            retryWhole(from, nowMillis, out);
+        if (!stageChanges(page)) {
+            retryWithoutBase(from, nowMillis, out);
             return Option.none();
         }
         return advance(from, page, nowMillis, out);
     }
 
     /** Forgets what is staged, because another version came into force meanwhile. */
-    void restart() {
+    void reset() {
         staged.clear();
         cursor = 0;
-        target = 0;
-        whole = false;
-        asked = null;
+        targetVersion = 0;
+        withoutBase = false;
+        awaitedPeer = null;
     }
 
     /** The base was another than the sender thought; a whole value that cannot be read ends the source. */
-    private void retryWhole(VmAddress from, long nowMillis, Outbox out) {
-        boolean wasWhole = whole;
-        restart();
-        if (wasWhole) {
+    private void retryWithoutBase(VmAddress from, long nowMillis, Outbox out) {
+        boolean wasWithoutBase = withoutBase;
+        reset();
+        if (wasWithoutBase) {
             sources.remove(from);
             return;
         }
-        whole = true;
-        ask(from, nowMillis, out);
+        withoutBase = true;
+        sendRequest(from, nowMillis, out);
     }
 
-    private Option<Whole> advance(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
+    private Option<CompleteVersion> advance(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
         cursor = Math.max(cursor, page.upToVersion());
-        target = Math.max(target, page.senderVersion());
-        if (page.isLast() && cursor >= target) {
-            Whole result = new Whole(List.copyOf(staged.values()), cursor);
-            restart();
+        targetVersion = Math.max(targetVersion, page.senderVersion());
+        if (page.isLast() && cursor >= targetVersion) {
+            CompleteVersion result = new CompleteVersion(List.copyOf(staged.values()), cursor);
+            reset();
             return Option.of(result);
         }
         if (page.isLast()) {
             sources.remove(from);
         } else {
-            ask(from, nowMillis, out);
+            sendRequest(from, nowMillis, out);
         }
         return Option.none();
     }
 
-    private void ask(VmAddress source, long nowMillis, Outbox out) {
+    private void sendRequest(VmAddress source, long nowMillis, Outbox out) {
         sequence++;
-        asked = source;
-        askedMillis = nowMillis;
+        awaitedPeer = source;
+        requestSentMillis = nowMillis;
         long after = Math.max(cursor, store.version());
-        out.add(new Action.SendMessage(source, new ConfigurationRequest(sequence, store.version(), after, whole)));
+        out.add(new Action.SendMessage(
+                source, new ConfigurationRequest(sequence, store.version(), after, withoutBase)));
     }
 
     /** A random one among the sources of the highest version. */
-    private Optional<VmAddress> pickSource() {
+    private Optional<VmAddress> chooseSource() {
         long best = sources.values().stream().mapToLong(v -> v).max().orElse(0);
         List<VmAddress> candidates = sources.entrySet().stream()
                 .filter(e -> e.getValue() == best)
@@ -159,9 +160,9 @@
         return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 
-    private boolean stage(ConfigurationPage page) {
+    private boolean stageChanges(ConfigurationPage page) {
         for (SubtreeChange change : page.changes()) {
-            Optional<byte[]> value = decode(change);
+            Optional<byte[]> value = decodeChange(change);
             if (value.isEmpty()) {
                 return false;
             }
@@ -173,7 +174,7 @@
         return true;
     }
 
-    private Optional<byte[]> decode(SubtreeChange change) {
+    private Optional<byte[]> decodeChange(SubtreeChange change) {
         if (change.encoded().length == 0) {
             return Optional.of(Subtree.NO_VALUE);
         }
@@ -185,5 +186,5 @@
     }
 
     /** The subtrees that make a whole version. */
-    record Whole(Collection<Subtree> subtrees, long version) {}
+    record CompleteVersion(Collection<Subtree> subtrees, long version) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeStore.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeStore.java
@@ -17,13 +17,13 @@
  */
 final class SubtreeStore {
 
-    private static final int MAX_ENCODED = 64;
+    private static final int MAX_CACHED_ENCODINGS = 64;
 
     private final long maxOlderBytes;
     private final Map<TeamId, Subtree> byTeam = new HashMap<>();
     private final TreeMap<Long, Subtree> byVersion = new TreeMap<>();
-    private final Map<SubtreeKey, byte[]> older = new LinkedHashMap<>();
-    private final Map<EncodedKey, byte[]> encoded = new LinkedHashMap<>();
+    private final Map<SubtreeKey, byte[]> olderValues = new LinkedHashMap<>();
+    private final Map<EncodedKey, byte[]> encodedValues = new LinkedHashMap<>();
     private long olderBytes;
     private long version;
 
@@ -57,7 +57,7 @@
     }
 
     /** The subtrees that a VM lacks, up to a number of bytes. */
-    ConfigurationPage page(ConfigurationRequest request, int maxBytes) {
+    ConfigurationPage createPage(ConfigurationRequest request, int maxBytes) {
         List<SubtreeChange> changes = new ArrayList<>();
         long upTo = request.afterVersion();
         int bytes = 0;
@@ -65,7 +65,7 @@
             if (bytes >= maxBytes) {
                 return new ConfigurationPage(request.sequence(), upTo, version, changes, 0);
             }
-            SubtreeChange change = change(subtree, request);
+            SubtreeChange change = encodeChange(subtree, request);
             changes.add(change);
             bytes += change.encoded().length;
             upTo = subtree.version();
@@ -73,34 +73,35 @@
         return new ConfigurationPage(request.sequence(), version, version, changes, 0);
     }
 
-    private SubtreeChange change(Subtree subtree, ConfigurationRequest request) {
+    private SubtreeChange encodeChange(Subtree subtree, ConfigurationRequest request) {
         if (subtree.value().length == 0) {
             return new SubtreeChange(subtree.team(), subtree.version(), 0, Subtree.NO_VALUE);
         }
-        Optional<SubtreeKey> base = request.whole() ? Optional.empty() : baseOf(subtree, request.appliedVersion());
+        Optional<SubtreeKey> base =
+                request.withoutBase() ? Optional.empty() : findBase(subtree, request.appliedVersion());
         long baseVersion = base.map(SubtreeKey::version).orElse(0L);
-        byte[] baseValue = base.map(older::get).orElse(Subtree.NO_VALUE);
+        byte[] baseValue = base.map(olderValues::get).orElse(Subtree.NO_VALUE);
         return new SubtreeChange(
-                subtree.team(), subtree.version(), baseVersion, encode(subtree, baseVersion, baseValue));
+                subtree.team(), subtree.version(), baseVersion, encodeCached(subtree, baseVersion, baseValue));
     }
 
-    private byte[] encode(Subtree subtree, long baseVersion, byte[] base) {
+    private byte[] encodeCached(Subtree subtree, long baseVersion, byte[] base) {
         EncodedKey key = new EncodedKey(new SubtreeKey(subtree.team(), subtree.version()), baseVersion);
-        byte[] known = encoded.get(key);
+        byte[] known = encodedValues.get(key);
         if (known != null) {
             return known;
         }
         byte[] result = SubtreeDelta.encode(base, subtree.value());
-        encoded.put(key, result);
-        if (encoded.size() > MAX_ENCODED) {
-            encoded.remove(encoded.keySet().iterator().next());
+        encodedValues.put(key, result);
+        if (encodedValues.size() > MAX_CACHED_ENCODINGS) {
+            encodedValues.remove(encodedValues.keySet().iterator().next());
         }
         return result;
     }
 
     /** The newest older value that a VM with a version may have; the VM checks whether it does. */
-    private Optional<SubtreeKey> baseOf(Subtree subtree, long appliedVersion) {
-        return older.keySet().stream()
+    private Optional<SubtreeKey> findBase(Subtree subtree, long appliedVersion) {
+        return olderValues.keySet().stream()
                 .filter(k -> k.team().equals(subtree.team()) && k.version() <= appliedVersion)
                 .max((a, b) -> Long.compare(a.version(), b.version()));
     }
@@ -108,21 +109,21 @@
     private void replace(Subtree current, Subtree change) {
         if (current != null) {
             byVersion.remove(current.version());
-            keepOlder(current);
+            retainOlder(current);
         }
         byTeam.put(change.team(), change);
         byVersion.put(change.version(), change);
     }
 
-    private void keepOlder(Subtree subtree) {
+    private void retainOlder(Subtree subtree) {
         if (subtree.value().length == 0 || subtree.value().length > maxOlderBytes) {
             return;
         }
-        older.put(new SubtreeKey(subtree.team(), subtree.version()), subtree.value());
+        olderValues.put(new SubtreeKey(subtree.team(), subtree.version()), subtree.value());
         olderBytes += subtree.value().length;
         while (olderBytes > maxOlderBytes) {
-            SubtreeKey eldest = older.keySet().iterator().next();
-            olderBytes -= older.remove(eldest).length;
+            SubtreeKey eldest = olderValues.keySet().iterator().next();
+            olderBytes -= olderValues.remove(eldest).length;
         }
     }
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/CellReporterTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/CellReporterTests.java
@@ -21,13 +21,13 @@
 class CellReporterTests {
 
     private final List<Action> actions = new ArrayList<>();
-    private final AtomicLong numbers = new AtomicLong();
-    private final CellReporter reporter = new CellReporter(vm("a"), numbers::incrementAndGet);
+    private final AtomicLong callNumbers = new AtomicLong();
+    private final CellReporter reporter = new CellReporter(vm("a"), callNumbers::incrementAndGet);
 
     @Test
     void reportsTheLowestVersionOfTheCellAndWhoLags() {
-        reporter.saw(vm("b"), 7);
-        reporter.saw(vm("c"), 5);
+        reporter.recordVersion(vm("b"), 7);
+        reporter.recordVersion(vm("c"), 5);
         readThenWrite(0);
         assertEquals(
                 "{\"cell\":\"r1\",\"dataCentre\":\"recife\",\"reporter\":\"a\",\"members\":3,\"version\":5,"
@@ -41,7 +41,7 @@
         answer(Either.right(new StoredObject("status/cells/r1", 4, update().value())), 2_000);
         tick(true, 3_000);
         assertTrue(actions.isEmpty());
-        reporter.saw(vm("b"), 7);
+        reporter.recordVersion(vm("b"), 7);
         tick(true, 4_000);
         assertEquals(4, update().expectedVersion());
     }
@@ -72,12 +72,12 @@
     }
 
     private void answer(Either<PlatformFailure, StoredObject> result, long nowMillis) {
-        reporter.take(numbers.get(), result, nowMillis);
+        reporter.handleAnswer(callNumbers.get(), result, nowMillis);
     }
 
-    private void tick(boolean first, long nowMillis) {
+    private void tick(boolean isFirstRelay, long nowMillis) {
         actions.clear();
-        reporter.tick(first, 7, List.of(vm("b"), vm("c")), nowMillis, actions::add);
+        reporter.tick(isFirstRelay, 7, List.of(vm("b"), vm("c")), nowMillis, actions::add);
     }
 
     private Action.UpdateObject update() {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
@@ -30,12 +30,12 @@
     static final long STEP_MILLIS = 50;
     private static final long WATCH_MILLIS = 5_000;
 
-    private final FakePlatform platform = new FakePlatform();
+    private final FakeConfigurationPlatform platform = new FakeConfigurationPlatform();
     private final Map<Integer, Node> nodes = new TreeMap<>();
-    private final List<InFlight> messages = new ArrayList<>();
-    private final List<Answer> answers = new ArrayList<>();
-    private final List<Watch> watches = new ArrayList<>();
-    private final Set<Integer> cutOff = new HashSet<>();
+    private final List<InFlightMessage> messages = new ArrayList<>();
+    private final List<PendingAnswer> answers = new ArrayList<>();
+    private final List<OpenWatch> watches = new ArrayList<>();
+    private final Set<Integer> isolated = new HashSet<>();
     private final Set<Integer> cutFromPlatform = new HashSet<>();
     private final ConfigurationSettings settings;
     private final SplittableRandom random;
@@ -53,7 +53,7 @@
         }
     }
 
-    FakePlatform platform() {
+    FakeConfigurationPlatform platform() {
         return platform;
     }
 
@@ -61,7 +61,7 @@
         return nodes.get(index).system;
     }
 
-    long now() {
+    long nowMillis() {
         return nowMillis;
     }
 
@@ -73,14 +73,14 @@
         return nodes.size();
     }
 
-    void disturb(int percent, long delayMillis) {
+    void setLinkFaults(int percent, long delayMillis) {
         dropPercent = percent;
         maxDelayMillis = delayMillis;
     }
 
-    void cut(int index) {
-        cutOff.add(index);
-        showMembers();
+    void isolate(int index) {
+        isolated.add(index);
+        updateViews();
     }
 
     void cutFromPlatform(int index) {
@@ -88,16 +88,16 @@
     }
 
     void heal() {
-        cutOff.clear();
+        isolated.clear();
         cutFromPlatform.clear();
-        disturb(0, 0);
-        platform.setUp(true);
-        showMembers();
+        setLinkFaults(0, 0);
+        platform.setAvailable(true);
+        updateViews();
     }
 
     void stop(int index) {
         nodes.remove(index);
-        showMembers();
+        updateViews();
     }
 
     /** Starts a VM, or starts it again with a new incarnation and without any memory. */
@@ -111,7 +111,7 @@
                 "127.0.0.1",
                 1000 + index);
         nodes.put(index, new Node(self));
-        showMembers();
+        updateViews();
     }
 
     void run(long millis) {
@@ -121,7 +121,7 @@
     }
 
     /** Runs until all VMs have the platform's version, and returns the time it took. */
-    long converge(long limitMillis) {
+    long runUntilConverged(long limitMillis) {
         long begin = nowMillis;
         while (!isConverged()) {
             assertTrue(nowMillis - begin <= limitMillis, () -> "not converged: " + versions());
@@ -140,28 +140,28 @@
 
     private void step() {
         nowMillis += STEP_MILLIS;
-        List<InFlight> due =
+        List<InFlightMessage> due =
                 messages.stream().filter(m -> m.dueMillis <= nowMillis).toList();
         messages.removeAll(due);
         due.forEach(this::deliver);
-        List<Watch> answered = watches.stream().filter(this::isAnswered).toList();
+        List<OpenWatch> answered = watches.stream().filter(this::isAnswered).toList();
         watches.removeAll(answered);
         answered.forEach(this::answer);
-        List<Answer> ended = List.copyOf(answers);
+        List<PendingAnswer> ended = List.copyOf(answers);
         answers.clear();
         nodes.values()
                 .forEach(n -> ended.stream().filter(a -> a.to.equals(n.self)).forEach(a -> n.handle(a.event)));
         nodes.values().forEach(Node::tick);
     }
 
-    private boolean isAnswered(Watch watch) {
-        return !platform.isUp()
+    private boolean isAnswered(OpenWatch watch) {
+        return !platform.isAvailable()
                 || cutFromPlatform.contains(watch.index)
-                || platform.hasAfter(watch.after)
+                || platform.hasChangesAfter(watch.after)
                 || nowMillis - watch.sentMillis >= WATCH_MILLIS;
     }
 
-    private void answer(Watch watch) {
+    private void answer(OpenWatch watch) {
         Node node = nodes.get(watch.index);
         if (node == null || !node.self.equals(watch.from)) {
             return;
@@ -169,16 +169,16 @@
         var result = cutFromPlatform.contains(watch.index)
                 ? Either.<PlatformFailure, org.hyssopswitch.core.engine.PrefixChanges>left(
                         new PlatformFailure.NoAnswer("config/teams/", "cut off"))
-                : platform.answer(watch.after);
+                : platform.readChanges(watch.after);
         node.handle(new Event.PrefixAnswered(watch.call, result));
     }
 
-    private void deliver(InFlight message) {
+    private void deliver(InFlightMessage message) {
         int to = message.to.port() - 1000;
         Node node = nodes.get(to);
         int from = message.from.port() - 1000;
         boolean reachable =
-                node != null && node.self.equals(message.to) && cutOff.contains(from) == cutOff.contains(to);
+                node != null && node.self.equals(message.to) && isolated.contains(from) == isolated.contains(to);
         if (reachable && random.nextInt(100) >= dropPercent) {
             node.handle(new Event.MessageReceived(message.from, message.message));
         } else if (nodes.containsKey(from) && !reachable) {
@@ -186,38 +186,38 @@
         }
     }
 
-    private void showMembers() {
+    private void updateViews() {
         for (Map.Entry<Integer, Node> entry : nodes.entrySet()) {
-            boolean side = cutOff.contains(entry.getKey());
+            boolean side = isolated.contains(entry.getKey());
             entry.getValue()
                     .view
-                    .show(nodes.entrySet().stream()
-                            .filter(e -> cutOff.contains(e.getKey()) == side)
+                    .setLiveMembers(nodes.entrySet().stream()
+                            .filter(e -> isolated.contains(e.getKey()) == side)
                             .map(e -> e.getValue().self)
                             .toList());
         }
     }
 
-    private record InFlight(long dueMillis, VmAddress from, VmAddress to, PeerMessage message) {}
+    private record InFlightMessage(long dueMillis, VmAddress from, VmAddress to, PeerMessage message) {}
 
-    private record Answer(VmAddress to, Event event) {}
+    private record PendingAnswer(VmAddress to, Event event) {}
 
-    private record Watch(int index, VmAddress from, long call, long after, long sentMillis) {}
+    private record OpenWatch(int index, VmAddress from, long call, long after, long sentMillis) {}
 
     /** One VM. */
     private final class Node {
 
         private final VmAddress self;
-        private final FakeView view;
+        private final FakeMembershipView view;
         private final ConfigurationSystem system;
         private final DecisionEngine engine;
 
         Node(VmAddress self) {
             this.self = self;
-            this.view = new FakeView(self);
-            AtomicLong numbers = new AtomicLong();
+            this.view = new FakeMembershipView(self);
+            AtomicLong callNumbers = new AtomicLong();
             this.system = new ConfigurationSystem(
-                    view, ConfigurationCluster::decode, settings, numbers::incrementAndGet, random.split());
+                    view, ConfigurationCluster::decode, settings, callNumbers::incrementAndGet, random.split());
             this.engine = new DecisionEngine(List.of(system));
         }
 
@@ -234,31 +234,31 @@
                 if (action instanceof Action.SendMessage send) {
                     sentMessages++;
                     long delay = STEP_MILLIS + random.nextLong(maxDelayMillis + 1);
-                    messages.add(new InFlight(nowMillis + delay, self, send.to(), send.message()));
+                    messages.add(new InFlightMessage(nowMillis + delay, self, send.to(), send.message()));
                 } else if (action instanceof Action.WatchPrefix watch) {
-                    platform.countCall();
-                    watches.add(new Watch(self.port() - 1000, self, watch.call(), watch.afterVersion(), nowMillis));
+                    platform.recordCall();
+                    watches.add(new OpenWatch(self.port() - 1000, self, watch.call(), watch.afterVersion(), nowMillis));
                 } else if (action instanceof Action.ReadObject read) {
-                    answers.add(
-                            new Answer(self, new Event.ObjectAnswered(read.call(), platform.readReport(read.path()))));
+                    answers.add(new PendingAnswer(
+                            self, new Event.ObjectAnswered(read.call(), platform.readReport(read.path()))));
                 } else if (action instanceof Action.UpdateObject update) {
-                    answers.add(new Answer(
+                    answers.add(new PendingAnswer(
                             self,
                             new Event.ObjectAnswered(
                                     update.call(),
                                     platform.updateReport(update.path(), update.expectedVersion(), update.value()))));
                 } else if (action instanceof Action.ApplyConfiguration apply) {
-                    check(apply.configuration());
+                    checkWhole(apply.configuration());
                 }
             }
         }
 
         /** A version in force is whole: it has exactly the subtrees that the platform had at that version. */
-        private void check(Configuration configuration) {
+        private void checkWhole(Configuration configuration) {
             assertEquals(configuration, engine.configuration(), "a version must never revert");
             Map<String, Long> teams = new HashMap<>();
             configuration.teams().forEach((t, c) -> teams.put(t.value(), c.version()));
-            assertEquals(platform.teamsAt(configuration.version()), teams, "version " + configuration.version());
+            assertEquals(platform.teamVersionsAt(configuration.version()), teams, "version " + configuration.version());
         }
     }
 
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationSystemTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationSystemTests.java
@@ -33,21 +33,21 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 6, 48})
     void anAcceptedChangeIsInForceEverywhereWithinTheTarget(int size) {
-        ConfigurationCluster cluster = started(size, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(size, ConfigurationSettings.DEFAULT);
         for (int i = 0; i < 5; i++) {
             cluster.platform().write("team" + i % 2, "value " + i);
-            cluster.converge(TARGET_MILLIS);
+            cluster.runUntilConverged(TARGET_MILLIS);
             cluster.run(1_700);
         }
     }
 
     @Test
     void theReportOfTheCellNamesTheVmsThatLag() {
-        ConfigurationCluster cluster = started(4, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(4, ConfigurationSettings.DEFAULT);
         long version = cluster.platform().write("team0", "seen by all");
-        cluster.converge(TARGET_MILLIS);
+        cluster.runUntilConverged(TARGET_MILLIS);
         cluster.run(3_000);
-        String report = cluster.platform().report("status/cells/c");
+        String report = cluster.platform().reportText("status/cells/c");
         assertTrue(report.contains("\"members\":4,\"version\":" + version + ",\"lagging\":[]"), report);
     }
 
@@ -55,7 +55,7 @@
     void callsToThePlatformDoNotGrowWithTheVms() {
         Set<Integer> calls = IntStream.of(6, 24, 48)
                 .mapToObj(size -> {
-                    ConfigurationCluster cluster = started(size, ConfigurationSettings.DEFAULT);
+                    ConfigurationCluster cluster = startConverged(size, ConfigurationSettings.DEFAULT);
                     int before = cluster.platform().calls();
                     cluster.run(60_000);
                     return cluster.platform().calls() - before;
@@ -74,56 +74,56 @@
     @Test
     void anOutageOfThePlatformCostsBoundedCallsAndEndsQuickly() {
         for (int size : new int[] {6, 48}) {
-            ConfigurationCluster cluster = started(size, ConfigurationSettings.DEFAULT);
-            cluster.platform().setUp(false);
+            ConfigurationCluster cluster = startConverged(size, ConfigurationSettings.DEFAULT);
+            cluster.platform().setAvailable(false);
             int before = cluster.platform().calls();
             cluster.run(300_000);
             int calls = cluster.platform().calls() - before;
             // Two relays at no more than one call per 2.5 s, the others together at one per 5 s on average.
             assertTrue(calls <= 2 * 300 / 2 + 300 / 5 * 3 / 2 + 300 / 5, () -> size + " VMs made " + calls + " calls");
-            assertTrue(cluster.status(0).ageMillis(cluster.now()) > 290_000);
-            cluster.platform().setUp(true);
+            assertTrue(cluster.status(0).ageMillis(cluster.nowMillis()) > 290_000);
+            cluster.platform().setAvailable(true);
             cluster.platform().write("team0", "after the outage");
-            cluster.converge(2 * TARGET_MILLIS);
+            cluster.runUntilConverged(2 * TARGET_MILLIS);
         }
     }
 
     @Test
     void theNextVmsTakeOverFromRelaysThatDie() {
-        ConfigurationCluster cluster = started(6, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(6, ConfigurationSettings.DEFAULT);
         for (int i = 0; i < 5; i++) {
             cluster.stop(i);
             cluster.platform().write("team0", "without " + i);
-            cluster.converge(2 * TARGET_MILLIS);
+            cluster.runUntilConverged(2 * TARGET_MILLIS);
         }
     }
 
     @Test
     void vmsAskThePlatformThemselvesWhenAllRelaysAreCutOffFromIt() {
-        ConfigurationCluster cluster = started(6, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(6, ConfigurationSettings.DEFAULT);
         int before = cluster.platform().calls();
         cluster.run(20_000);
         int relayCalls = cluster.platform().calls() - before;
         assertTrue(relayCalls > 0);
         IntStream.range(0, 5).forEach(cluster::cutFromPlatform);
         cluster.platform().write("team0", "seen by one VM");
-        cluster.converge(120_000);
+        cluster.runUntilConverged(120_000);
     }
 
     @Test
     void aRestartedVmIsNotReadyUnderAnOlderVersionThanAReachableOneHas() {
-        ConfigurationCluster cluster = started(6, ConfigurationSettings.DEFAULT);
-        cluster.cut(5);
+        ConfigurationCluster cluster = startConverged(6, ConfigurationSettings.DEFAULT);
+        cluster.isolate(5);
         cluster.cutFromPlatform(5);
         cluster.platform().write("team0", "newer");
         cluster.run(4_000);
         assertTrue(cluster.status(0).version() > cluster.status(5).version());
-        cluster.platform().setUp(false);
+        cluster.platform().setAvailable(false);
         cluster.heal();
-        cluster.platform().setUp(false);
+        cluster.platform().setAvailable(false);
         cluster.start(3);
         while (!cluster.status(3).isReady()) {
-            assertTrue(cluster.now() < 120_000, "the VM must become ready without the platform");
+            assertTrue(cluster.nowMillis() < 120_000, "the VM must become ready without the platform");
             cluster.run(ConfigurationCluster.STEP_MILLIS);
         }
         assertEquals(
@@ -133,39 +133,39 @@
     @Test
     void aVmWithoutAnyConfigurationIsNotReady() {
         ConfigurationCluster cluster = new ConfigurationCluster(3, ConfigurationSettings.DEFAULT, 5);
-        cluster.platform().setUp(false);
+        cluster.platform().setAvailable(false);
         cluster.run(60_000);
         assertFalse(cluster.status(0).isReady());
         cluster.heal();
         cluster.platform().write("team0", "first");
-        cluster.converge(2 * TARGET_MILLIS);
+        cluster.runUntilConverged(2 * TARGET_MILLIS);
         cluster.run(3_000);
         assertTrue(cluster.status(0).isReady());
     }
 
     @Test
     void theAgeGrowsWhileNothingConfirmsTheVersion() {
-        ConfigurationCluster cluster = started(6, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(6, ConfigurationSettings.DEFAULT);
         cluster.run(60_000);
         for (int i = 0; i < 6; i++) {
-            assertTrue(cluster.status(i).ageMillis(cluster.now()) < 15_000);
+            assertTrue(cluster.status(i).ageMillis(cluster.nowMillis()) < 15_000);
         }
-        cluster.cut(2);
+        cluster.isolate(2);
         cluster.cutFromPlatform(2);
         cluster.run(40_000);
-        assertTrue(cluster.status(2).ageMillis(cluster.now()) >= 40_000);
-        assertTrue(cluster.status(1).ageMillis(cluster.now()) < 15_000);
+        assertTrue(cluster.status(2).ageMillis(cluster.nowMillis()) >= 40_000);
+        assertTrue(cluster.status(1).ageMillis(cluster.nowMillis()) < 15_000);
     }
 
     @Test
     void anUnreadableSubtreeLeavesTheLastOneInForce() {
         VmAddress self = new VmAddress(new VmId("vm"), 1, new DataCentreId("dc"), new CellId("c"), "127.0.0.1", 1);
-        FakeView view = new FakeView(self);
-        view.show(List.of(self));
+        FakeMembershipView view = new FakeMembershipView(self);
+        view.setLiveMembers(List.of(self));
         ConfigurationSystem system = new ConfigurationSystem(
                 view, ConfigurationCluster::decode, ConfigurationSettings.DEFAULT, () -> 1, new SplittableRandom(1));
         DecisionEngine engine = new DecisionEngine(List.of(system));
-        FakePlatform platform = new FakePlatform();
+        FakeConfigurationPlatform platform = new FakeConfigurationPlatform();
         long readable = platform.write("team0", "readable");
         answerWatch(engine, platform, 0);
         platform.write("team0", "invalid");
@@ -174,31 +174,31 @@
         TeamId team = new TeamId("team0");
         assertEquals(readable, engine.configuration().teams().get(team).version());
         assertEquals(last, engine.configuration().version());
-        assertEquals(Set.of(team), system.rejected().keySet());
+        assertEquals(Set.of(team), system.rejectedTeams().keySet());
         platform.write("team0", "readable again");
         answerWatch(engine, platform, 4_000);
         assertEquals(last + 1, engine.configuration().teams().get(team).version());
-        assertTrue(system.rejected().isEmpty());
+        assertTrue(system.rejectedTeams().isEmpty());
     }
 
-    private static void answerWatch(DecisionEngine engine, FakePlatform platform, long nowMillis) {
+    private static void answerWatch(DecisionEngine engine, FakeConfigurationPlatform platform, long nowMillis) {
         engine.tick(nowMillis);
         engine.tick(nowMillis + 1_000);
         engine.handle(
                 new Event.PrefixAnswered(
-                        1, platform.answer(engine.configuration().version())),
+                        1, platform.readChanges(engine.configuration().version())),
                 nowMillis + 1_500);
     }
 
     @Test
     void aRemovedTeamDisappearsEverywhere() {
-        ConfigurationCluster cluster = started(6, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(6, ConfigurationSettings.DEFAULT);
         cluster.platform().write("team0", "here");
-        cluster.converge(TARGET_MILLIS);
+        cluster.runUntilConverged(TARGET_MILLIS);
         cluster.platform().write("team0", "");
-        cluster.converge(TARGET_MILLIS);
+        cluster.runUntilConverged(TARGET_MILLIS);
         cluster.start(4);
-        cluster.converge(TARGET_MILLIS);
+        cluster.runUntilConverged(TARGET_MILLIS);
     }
 
     @Test
@@ -207,8 +207,8 @@
         for (int i = 0; i < 60; i++) {
             cluster.platform().write("team" + i, "a value of team " + i);
         }
-        cluster.converge(2 * TARGET_MILLIS);
-        cluster.platform().setUp(false);
+        cluster.runUntilConverged(2 * TARGET_MILLIS);
+        cluster.platform().setAvailable(false);
         cluster.start(1);
         cluster.run(10_000);
         assertEquals(
@@ -221,26 +221,26 @@
         SplittableRandom random = new SplittableRandom(seed);
         ConfigurationCluster cluster = new ConfigurationCluster(5, SMALL_PAGES, seed);
         for (int i = 0; i < 60; i++) {
-            disturb(cluster, random);
+            injectFault(cluster, random);
             cluster.run(random.nextLong(3_000));
         }
         cluster.heal();
         IntStream.range(0, 5).filter(i -> !isRunning(cluster, i)).forEach(cluster::start);
         cluster.platform().write("team0", "the last value");
-        cluster.converge(AFTER_FAULTS_MILLIS);
+        cluster.runUntilConverged(AFTER_FAULTS_MILLIS);
         cluster.run(6_000);
         for (int i = 0; i < 5; i++) {
             assertTrue(cluster.status(i).isReady());
         }
     }
 
-    private static void disturb(ConfigurationCluster cluster, SplittableRandom random) {
+    private static void injectFault(ConfigurationCluster cluster, SplittableRandom random) {
         int vm = random.nextInt(5);
         switch (random.nextInt(9)) {
-            case 0 -> cluster.cut(vm);
+            case 0 -> cluster.isolate(vm);
             case 1 -> cluster.cutFromPlatform(vm);
-            case 2 -> cluster.platform().setUp(random.nextBoolean());
-            case 3 -> cluster.disturb(random.nextInt(60), random.nextLong(3_000));
+            case 2 -> cluster.platform().setAvailable(random.nextBoolean());
+            case 3 -> cluster.setLinkFaults(random.nextInt(60), random.nextLong(3_000));
             case 4 -> cluster.heal();
             case 5 -> cluster.start(vm);
             case 6 -> cluster.platform().write("team" + random.nextInt(6), random.nextInt(5) == 0 ? "" : value(random));
@@ -257,16 +257,16 @@
     }
 
     private static long messagesPerVm(int size) {
-        ConfigurationCluster cluster = started(size, ConfigurationSettings.DEFAULT);
+        ConfigurationCluster cluster = startConverged(size, ConfigurationSettings.DEFAULT);
         long before = cluster.sentMessages();
         cluster.run(120_000);
         return (cluster.sentMessages() - before) / size;
     }
 
-    private static ConfigurationCluster started(int size, ConfigurationSettings settings) {
+    private static ConfigurationCluster startConverged(int size, ConfigurationSettings settings) {
         ConfigurationCluster cluster = new ConfigurationCluster(size, settings, 42);
         cluster.platform().write("team0", "initial");
-        cluster.converge(2 * TARGET_MILLIS);
+        cluster.runUntilConverged(2 * TARGET_MILLIS);
         cluster.run(7_000);
         List<Boolean> ready = IntStream.range(0, size)
                 .mapToObj(i -> cluster.status(i).isReady())
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakePlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeConfigurationPlatform.java
@@ -12,16 +12,16 @@
 import org.hyssopswitch.core.engine.StoredObject;
 
 /** The objects below {@code config/teams/}, with all versions that were ever accepted. */
-final class FakePlatform {
+final class FakeConfigurationPlatform {
 
     private final TreeMap<Long, StoredObject> current = new TreeMap<>();
     private final TreeMap<Long, Map<String, Long>> history = new TreeMap<>();
     private final Map<String, StoredObject> reports = new HashMap<>();
-    private boolean up = true;
+    private boolean available = true;
     private long version;
     private int calls;
 
-    FakePlatform() {
+    FakeConfigurationPlatform() {
         history.put(0L, Map.of());
     }
 
@@ -42,34 +42,34 @@
         return history.lastKey();
     }
 
-    Map<String, Long> teamsAt(long ofVersion) {
+    Map<String, Long> teamVersionsAt(long ofVersion) {
         return history.get(ofVersion);
     }
 
-    void setUp(boolean isUp) {
-        up = isUp;
+    void setAvailable(boolean newValue) {
+        available = newValue;
     }
 
-    boolean isUp() {
-        return up;
+    boolean isAvailable() {
+        return available;
     }
 
     int calls() {
         return calls;
     }
 
-    void countCall() {
+    void recordCall() {
         calls++;
     }
 
-    boolean hasAfter(long after) {
+    boolean hasChangesAfter(long after) {
         return !current.tailMap(after, false).isEmpty();
     }
 
     /** Reads an object outside the prefix. */
     Either<PlatformFailure, StoredObject> readReport(String path) {
         calls++;
-        return up
+        return available
                 ? Either.right(reports.getOrDefault(path, new StoredObject(path, 0, new byte[0])))
                 : Either.left(new PlatformFailure.NoAnswer(path, "down"));
     }
@@ -91,12 +91,12 @@
     }
 
     /** The text of an object outside the prefix. */
-    String report(String path) {
+    String reportText(String path) {
         return new String(reports.get(path).value(), StandardCharsets.UTF_8);
     }
 
-    Either<PlatformFailure, PrefixChanges> answer(long after) {
-        if (!up) {
+    Either<PlatformFailure, PrefixChanges> readChanges(long after) {
+        if (!available) {
             return Either.left(new PlatformFailure.NoAnswer("config/teams/", "down"));
         }
         List<StoredObject> changed =
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeView.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeMembershipView.java
@@ -9,17 +9,17 @@
 import org.hyssopswitch.core.membership.MembershipView;
 
 /** A view that a test sets. */
-final class FakeView implements MembershipView {
+final class FakeMembershipView implements MembershipView {
 
     private final VmAddress self;
     private final Set<VmAddress> live = new HashSet<>();
     private long version;
 
-    FakeView(VmAddress self) {
+    FakeMembershipView(VmAddress self) {
         this.self = self;
     }
 
-    void show(List<VmAddress> members) {
+    void setLiveMembers(List<VmAddress> members) {
         version++;
         live.clear();
         live.addAll(members);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/SubtreeDeltaTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/SubtreeDeltaTests.java
@@ -24,7 +24,7 @@
     @Property(seed = "237813")
     void editsOfARealisticValueAreDecoded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        byte[] base = text(random, 200).getBytes(StandardCharsets.UTF_8);
+        byte[] base = randomText(random, 200).getBytes(StandardCharsets.UTF_8);
         byte[] value = base.clone();
         for (int i = random.nextInt(4); i >= 0; i--) {
             value[random.nextInt(value.length)] = (byte) random.nextInt();
@@ -35,8 +35,8 @@
     }
 
     @Property(seed = "935624")
-    void anotherBaseIsNoticed(@ForAll long seed, @ForAll int position) {
-        byte[] base = text(new SplittableRandom(seed), 20).getBytes(StandardCharsets.UTF_8);
+    void anotherBaseIsDetected(@ForAll long seed, @ForAll int position) {
+        byte[] base = randomText(new SplittableRandom(seed), 20).getBytes(StandardCharsets.UTF_8);
         byte[] value = (new String(base, StandardCharsets.UTF_8) + " and more").getBytes(StandardCharsets.UTF_8);
         byte[] other = base.clone();
         other[Math.floorMod(position, base.length)] ^= 1;
@@ -48,9 +48,9 @@
     @Property(seed = "935725")
     void movedAndRepeatedPartsAreDecoded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        String base = text(random, 50);
+        String base = randomText(random, 50);
         int cut = random.nextInt(base.length());
-        String value = base.substring(cut) + text(random, 3) + base.substring(0, cut) + base.substring(cut / 2);
+        String value = base.substring(cut) + randomText(random, 3) + base.substring(0, cut) + base.substring(cut / 2);
         byte[] before = base.getBytes(StandardCharsets.UTF_8);
         byte[] after = value.getBytes(StandardCharsets.UTF_8);
         assertArrayEquals(
@@ -65,7 +65,7 @@
     }
 
     @Property(seed = "594902")
-    void truncatedBytesAreNoticed(@ForAll @Size(min = 1, max = 200) byte[] value, @ForAll int cut) {
+    void truncatedBytesAreDetected(@ForAll @Size(min = 1, max = 200) byte[] value, @ForAll int cut) {
         byte[] encoded = SubtreeDelta.encode(new byte[0], value);
         byte[] truncated = java.util.Arrays.copyOf(encoded, Math.floorMod(cut, encoded.length));
         assertTrue(SubtreeDelta.decode(new byte[0], truncated).isEmpty());
@@ -79,7 +79,7 @@
 
     @Test
     void oneChangeInALongValueIsShort() {
-        byte[] base = text(new SplittableRandom(1), 5_000).getBytes(StandardCharsets.UTF_8);
+        byte[] base = randomText(new SplittableRandom(1), 5_000).getBytes(StandardCharsets.UTF_8);
         byte[] value = base.clone();
         value[base.length / 2] ^= 1;
         assertFalse(SubtreeDelta.encode(base, value).length > 100);
@@ -87,7 +87,7 @@
 
     @Test
     void scatteredChangesInALongValueAreShort() {
-        byte[] base = text(new SplittableRandom(1), 20_000).getBytes(StandardCharsets.UTF_8);
+        byte[] base = randomText(new SplittableRandom(1), 20_000).getBytes(StandardCharsets.UTF_8);
         byte[] value = base.clone();
         for (int i = 1; i <= 5; i++) {
             value[base.length / 6 * i] ^= 1;
@@ -95,7 +95,7 @@
         assertFalse(SubtreeDelta.encode(base, value).length > 200);
     }
 
-    private static String text(SplittableRandom random, int words) {
+    private static String randomText(SplittableRandom random, int words) {
         StringBuilder builder = new StringBuilder();
         for (int i = 0; i < words; i++) {
             builder.append("{\"id\":\"").append(random.nextInt(10_000)).append("\"},");
--- a/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
+++ b/hyssopswitch-proxy/src/main/java/org/hyssopswitch/proxy/vm/DefaultVmCoreFactory.java
@@ -100,7 +100,7 @@
         report.put("configurationAgeMillis", configuration.ageMillis(clock.getAsLong()));
         report.put("keysTrustedForMillis", staleness.maxAgeMillis());
         Map<String, Object> rejected = new LinkedHashMap<>();
-        configuration.rejected().forEach((team, failure) -> rejected.put(team.value(), failure.describe()));
+        configuration.rejectedTeams().forEach((team, failure) -> rejected.put(team.value(), failure.describe()));
         report.put("rejectedTeams", rejected);
         report.put(
                 "members",
