--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/AccountDeclaration.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/AccountDeclaration.java
@@ -8,13 +8,13 @@
  * A declared client account.
  *
  * @param id the client account
- * @param rate its rate and burst over all VMs
+ * @param rate its rate and burst, summed over all VMs
  * @param databases the databases it may use
- * @param keys its keys that are in force
+ * @param keys verifiers of its valid keys
  */
 public record AccountDeclaration(ClientAccountId id, Rate rate, List<DatabaseId> databases, List<KeyVerifier> keys) {
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     public AccountDeclaration {
         databases = List.copyOf(databases);
         keys = List.copyOf(keys);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/BlockMatcher.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/BlockMatcher.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Finds the parts of a value that an older one has: blocks of the older value are looked up by a rolling hash at every
- * position of the value, and a match is extended both ways.
+ * Finds the byte ranges that a value shares with a base value. Blocks of the base are indexed by hash and looked up
+ * with a rolling hash at every position of the value; a match is extended in both directions.
  */
 final class BlockMatcher {
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Writes a copy for each match, in order; what lies between is left to literals. */
+    /** Writes a copy for each match, in ascending order; the writer covers the gaps with literals. */
     void writeMatches(DeltaWriter writer) {
         int position = 0;
         int hash = value.length >= BLOCK_BYTES ? hashBlock(value, 0) : 0;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The place in the base of the block at a position, or -1; a place that goes on from the last copy is preferred. */
+    /** Returns the offset in the base of the block at a position, or -1; prefers the continuation of the last copy. */
     private int findInBase(int position, int hash, int copyShift) {
         if (isBlockAt(position + copyShift, position)) {
             return position + copyShift;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ByteRateLimiter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ByteRateLimiter.java
@@ -1,6 +1,6 @@
 package org.hyssopswitch.core.configuration;
 
-/** Bounds the bytes that are sent per second; one page may exceed what is left and delays the next. */
+/** Token bucket that limits the bytes sent per second; a page may overdraw it, which delays the next page. */
 final class ByteRateLimiter {
 
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -15,7 +15,7 @@
         this.availableBytes = bytesPerSecond;
     }
 
-    /** Milliseconds until something may be sent; 0 for now. */
+    /** Returns the milliseconds until the next page may be sent; 0 if it may be sent now. */
     long waitMillis(long nowMillis) {
         refill(nowMillis);
         return availableBytes > 0 ? 0 : 1 - availableBytes * MILLIS_PER_SECOND / bytesPerSecond;
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CellReporter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/CellReporter.java
@@ -15,11 +15,11 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /**
- * Writes which version a whole cell has in force to the platform's object {@code status/cells/<cell>}, so that operators
- * can wait for it. Only the first relay of a cell writes, and only when the report has changed.
+ * Writes the version that all VMs of a cell have in force to the platform's object {@code status/cells/<cell>}, so that
+ * operators can wait for it. Only the first relay of a cell writes, and only when the report has changed.
  *
- * <p>The value is JSON: {@code {"cell","dataCentre","reporter","members","version","lagging":[{"vm","version"}]}}, where
- * the version is the lowest that a live member has.
+ * <p>The value is JSON: {@code {"cell","dataCentre","reporter","members","version","lagging":[{"vm","version"}]}},
+ * where {@code version} is the lowest version among the live members.
  */
 final class CellReporter {
 
@@ -44,7 +44,7 @@
         this.callNumbers = callNumbers;
     }
 
-    /** A member told its version. */
+    /** Records the version that a member of the cell has in force. */
     void recordVersion(VmAddress member, long version) {
         if (member.cell().equals(self.cell())) {
             memberVersions.merge(member, version, Math::max);
@@ -69,7 +69,7 @@
         sendCall(report, nowMillis, out);
     }
 
-    /** Takes the answer of the open call. */
+    /** Handles the answer to the pending call; ignores other answers. */
     void handleAnswer(long call, Either<PlatformFailure, StoredObject> result, long nowMillis) {
         if (!callOpen || call != openCallNumber) {
             return;
@@ -79,7 +79,7 @@
             objectVersion = result.get().version();
             lastWritten = result.get().value();
         } else {
-            // The update may have taken effect, so the object is read again before the next one.
+            // The update may have taken effect, so the object is read again before the next update.
             objectVersion = -1;
             notBeforeMillis = nowMillis + (isConflict(result.getLeft()) ? 0 : RETRY_DELAY_MILLIS);
         }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/Configuration.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/Configuration.java
@@ -11,7 +11,7 @@
 /** An immutable configuration of one version, indexed for look-ups. */
 public final class Configuration {
 
-    /** The configuration of a VM that has not learnt any yet. */
+    /** The configuration of a VM that has not received any yet. */
     public static final Configuration EMPTY = new Configuration(0, Map.of());
 
     private final long version;
@@ -23,7 +23,7 @@
     /**
      * Creates a configuration.
      *
-     * @param version total order of accepted changes; 0 for none
+     * @param version position in the total order of accepted changes; 0 for none
      * @param teams subtrees by team
      */
     public Configuration(long version, Map<TeamId, TeamConfiguration> teams) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationAnnouncement.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationAnnouncement.java
@@ -3,10 +3,10 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Tells which version the sender has.
+ * Announces the version that the sender has in force.
  *
- * @param sequence number of the query; 0 when not asked for
+ * @param sequence number of the query that is answered; 0 for an unsolicited announcement
  * @param version version that the sender has in force
- * @param ageMillis milliseconds since the version was known to be the latest; negative when it never was
+ * @param ageMillis milliseconds since the version was last confirmed to be the latest; negative if it never was
  */
 public record ConfigurationAnnouncement(long sequence, long version, long ageMillis) implements PeerMessage {}
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSettings.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSettings.java
@@ -1,19 +1,22 @@
 package org.hyssopswitch.core.configuration;
 
 /**
- * Times and bounds of the spread of configurations.
+ * Intervals, timeouts and limits of the distribution of configurations.
  *
  * @param relaysPerCell VMs of a cell that watch the platform
  * @param queryIntervalMillis mean time between two queries of one VM
- * @param answerTimeoutMillis time after which a peer's answer is no longer awaited
- * @param watchTimeoutMillis time after which a watch without an answer is repeated; longer than a watch waits
- * @param minRetryDelayMillis first delay after a failed watch
- * @param maxRetryDelayMillis greatest delay after a failed watch
- * @param staleAfterMillis age beyond which VMs other than relays ask the platform, and relays ask other cells
- * @param fallbackIntervalMillis mean time between two such calls, over all VMs of a cell together
- * @param pageBytes bytes of subtrees after which a page ends
- * @param serveBytesPerSecond bytes of pages that a VM sends per second
- * @param maxOlderBytes bytes of older values that are kept to encode newer ones against
+ * @param answerTimeoutMillis time after which a query or request to a peer times out
+ * @param watchTimeoutMillis time after which an unanswered watch is repeated; must exceed the time that the platform
+ *     holds a watch
+ * @param minRetryDelayMillis initial delay after a failed watch
+ * @param maxRetryDelayMillis maximum delay after a failed watch
+ * @param staleAfterMillis age of the last confirmation beyond which VMs other than relays watch the platform and relays
+ *     query other cells
+ * @param fallbackIntervalMillis mean time between two such watches, over all VMs of a cell together; also between two
+ *     such queries of one relay
+ * @param pageBytes bytes of encoded subtrees after which a page ends; the last subtree may exceed it
+ * @param serveBytesPerSecond maximum bytes of encoded subtrees that a VM sends per second
+ * @param maxOlderBytes maximum bytes of older values kept as bases for encoding newer ones
  */
 public record ConfigurationSettings(
         int relaysPerCell,
@@ -28,11 +31,11 @@
         long serveBytesPerSecond,
         long maxOlderBytes) {
 
-    /** In force in a cell of 48 VMs well within five seconds, at a few hundred bytes per second and VM. */
+    /** Bring a change into force in a cell of 48 VMs well within 5 s, at a few hundred bytes per second and VM. */
     public static final ConfigurationSettings DEFAULT =
             new ConfigurationSettings(2, 500, 2_000, 60_000, 250, 5_000, 15_000, 5_000, 256 << 10, 4 << 20, 8 << 20);
 
-    /** Checks the ranges. */
+    /** Validates the ranges. */
     public ConfigurationSettings {
         if (relaysPerCell < 1 || queryIntervalMillis < 1 || answerTimeoutMillis < 1 || watchTimeoutMillis < 1) {
             throw new IllegalArgumentException("relays and times must be positive, but are " + relaysPerCell + ", "
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationStatus.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationStatus.java
@@ -4,26 +4,26 @@
 import org.hyssopswitch.core.failure.Failure;
 import org.hyssopswitch.core.identity.TeamId;
 
-/** What a VM knows about its configuration. Confined to the decision thread. */
+/** The state of a VM's configuration. Confined to the decision thread. */
 public interface ConfigurationStatus {
 
-    /** The version in force on this VM; 0 for none. */
+    /** Returns the version in force on this VM; 0 for none. */
     long version();
 
-    /** The highest version that this VM has heard of. */
+    /** Returns the highest version that is in force on this VM or that a peer has announced. */
     long highestKnownVersion();
 
     /**
-     * The time since the version in force was known to be the latest.
+     * Returns the time since the version in force was last confirmed to be the latest.
      *
      * @param nowMillis milliseconds of the monotonic clock
-     * @return milliseconds; {@link Long#MAX_VALUE} when it never was
+     * @return milliseconds; {@link Long#MAX_VALUE} if it was never confirmed
      */
     long ageMillis(long nowMillis);
 
-    /** Whether the VM may serve: it has a configuration, and no one that it reached at its start knows a later one. */
+    /** Whether the VM may serve: it has a configuration, and no peer reached at startup has announced a later one. */
     boolean isReady();
 
-    /** Subtrees whose latest value cannot be read; the last one that could stays in force. */
+    /** Returns the teams whose latest subtree cannot be decoded; their last decodable subtree stays in force. */
     Map<TeamId, Failure> rejectedTeams();
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
@@ -23,11 +23,12 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Spreads accepted configurations: the relays of a cell watch the platform and announce a new version to their cell;
- * every VM also asks a random member now and then, and pulls the subtrees that it lacks.
+ * Distributes accepted configurations: the relays of a cell watch the platform and announce a new version to their
+ * cell; every VM also queries a random member periodically and fetches the subtrees that it lacks.
  *
- * <p>The version is the highest version of a team's object. All objects up to it make one whole configuration, because
- * the platform numbers all updates in one order. A VM applies only whole and higher versions and persists nothing.
+ * <p>The configuration's version is the highest version of any team's object. All objects up to it form a complete
+ * configuration, because the platform numbers all updates in a total order. A VM applies only complete and higher
+ * versions and persists nothing.
  */
 public final class ConfigurationSystem implements DecisionSystem, ConfigurationStatus {
 
@@ -57,10 +58,10 @@
     /**
      * Creates the system.
      *
-     * @param view the VMs that this one knows
-     * @param decoder reads the values of teams' objects
-     * @param settings times and bounds
-     * @param callNumbers numbers calls uniquely within this VM
+     * @param view the membership view of this VM
+     * @param decoder decodes the values of teams' objects
+     * @param settings intervals, timeouts and limits
+     * @param callNumbers supplies call numbers that are unique within this VM
      * @param random source of randomness
      */
     public ConfigurationSystem(
@@ -161,7 +162,7 @@
         }
     }
 
-    /** An answer confirms what it says as of the time of the question, however long it was under way. */
+    /** A confirmation counts from the sending of the query, however long the answer was in flight. */
     private void handleAnnouncement(
             VmAddress from, ConfigurationAnnouncement announcement, long nowMillis, Outbox out) {
         Long querySentMillis = pendingQueries.remove(announcement.sequence());
@@ -214,7 +215,7 @@
         return result;
     }
 
-    /** The team of an object, or nothing when the object is not one of ours. */
+    /** Returns the team of an object, or an empty list if the path does not name a team. */
     private static List<TeamId> parseTeam(String path) {
         try {
             return List.of(new TeamId(path.substring(PlatformWatch.TEAMS_PATH_PREFIX.length())));
@@ -236,7 +237,8 @@
                 .toList();
         out.add(new Action.ApplyConfiguration(configuration));
         if (!gate.isReady()) {
-            // The cells are known now; those elsewhere are asked soon, not at the next regular time.
+            // The configuration lists the other cells, so they are queried soon rather than at the next regular
+            // interval.
             nextFallbackMillis =
                     Math.min(nextFallbackMillis, nowMillis + random.nextLong(MAX_OTHER_CELLS_DELAY_MILLIS));
         }
@@ -244,7 +246,7 @@
         gate.updateReadiness(version, fetcher.isBehind(), ageMillis(nowMillis), nowMillis);
     }
 
-    /** Tells the VM that reports for the cell, so that operators need not wait for the next query. */
+    /** Announces the version to the reporter of the cell, so that the report need not wait for the next query. */
     private void announceToReporter(long nowMillis, Outbox out) {
         ConfigurationAnnouncement announcement = createAnnouncement(0, nowMillis);
         ranking.topRanked(1).stream()
@@ -290,8 +292,9 @@
     }
 
     /**
-     * When the relays of the cell do not confirm the version, the others ask the platform at a rate that is bounded for
-     * the cell, and relays ask other cells.
+     * While the relays of the cell do not confirm the version, the other VMs watch the platform at a rate that is
+     * limited per cell, and relays query other cells. A starting VM does both unless it is a relay, which watches the
+     * platform anyway.
      */
     private void fallBackIfDue(boolean isRelay, long nowMillis, Outbox out) {
         boolean starting = gate.shouldQueryPlatform(ageMillis(nowMillis), nowMillis);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DatabaseDeclaration.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DatabaseDeclaration.java
@@ -9,11 +9,11 @@
  * @param id the database
  * @param endpoints the endpoints of its group; an odd number
  * @param slots statements that one endpoint runs at a time, 1 or more
- * @param connections connections that one endpoint accepts from all VMs together, 2 or more
+ * @param connections connections that one endpoint accepts in total from all VMs, 2 or more
  */
 public record DatabaseDeclaration(DatabaseId id, List<EndpointDeclaration> endpoints, int slots, int connections) {
 
-    /** Checks the ranges and copies the list. */
+    /** Validates the ranges and makes an immutable copy of the list. */
     public DatabaseDeclaration {
         endpoints = List.copyOf(endpoints);
         if (endpoints.size() % 2 == 0) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Endpoints that make a majority of the group. */
+    /** Returns the number of endpoints that form a majority of the group. */
     public int majority() {
         return endpoints.size() / 2 + 1;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaReader.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaReader.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.DataFormatException;
 
-/** Reads what {@link DeltaWriter} writes; lengths and places beyond their bounds are refused. */
+/** Decodes the format of {@link DeltaWriter}; rejects lengths and offsets that are out of bounds. */
 final class DeltaReader {
 
     private static final int MAX_VARINT_SHIFT = 28;
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Reads a delta.
+     * Decodes a delta.
      *
-     * @throws DataFormatException if it does not fit the base or is damaged
-     * @throws BufferUnderflowException if it ends early
+     * @throws DataFormatException if the delta does not match the base or is corrupted
+     * @throws BufferUnderflowException if the delta is truncated
      */
     static byte[] read(byte[] base, byte[] delta) throws DataFormatException {
         DeltaReader reader = new DeltaReader(base, delta);
@@ -46,7 +46,7 @@
         int length = readLength(base.length);
         int offset = previousCopyEnd + decodeZigZag(readVarint());
         if (offset < 0 || offset > base.length - length) {
-            throw new DataFormatException("a copy lies outside the base");
+            throw new DataFormatException("copy offset is outside the base");
         }
         value.write(base, offset, length);
         previousCopyEnd = offset + length;
@@ -55,7 +55,7 @@
     private int readLength(int limit) throws DataFormatException {
         int length = readVarint();
         if (length < 0 || length > limit || value.size() + length > SubtreeDelta.MAX_VALUE_BYTES) {
-            throw new DataFormatException("a length is out of bounds: " + length);
+            throw new DataFormatException("length is out of bounds: " + length);
         }
         return length;
     }
@@ -69,7 +69,7 @@
                 return number;
             }
         }
-        throw new DataFormatException("a number is too long");
+        throw new DataFormatException("variable-length integer is longer than 5 bytes");
     }
 
     private static int decodeZigZag(int number) {
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaWriter.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/DeltaWriter.java
@@ -3,8 +3,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Writes a delta: pairs of a literal and a copy, each with its length in front; the place of a copy is relative to the
- * end of the last one.
+ * Writes a delta: alternating literals and copies from the base, each prefixed with its length. The offset of a copy is
+ * relative to the end of the previous copy.
  */
 final class DeltaWriter {
 
@@ -17,17 +17,17 @@
         this.value = value;
     }
 
-    /** Bytes of the value that are written so far. */
+    /** Returns the number of bytes of the value that the delta covers so far. */
     int writtenBytes() {
         return writtenBytes;
     }
 
-    /** What is added to a position of the value to get to its place in the base if the last copy went on. */
+    /** Returns the difference between a position in the value and its offset in the base, as of the previous copy. */
     int copyShift() {
         return previousCopyEnd - writtenBytes;
     }
 
-    /** Writes the literal up to a position and a copy of the bytes from there. */
+    /** Writes a literal up to a position and a copy from the base for the bytes that follow. */
     void writeCopy(int offset, int position, int length) {
         writeLiteral(position);
         writeVarint(length);
@@ -36,7 +36,7 @@
         previousCopyEnd = offset + length;
     }
 
-    /** Writes what is left as a literal and returns the delta. */
+    /** Writes the remaining bytes as a literal and returns the delta. */
     byte[] finish() {
         writeLiteral(value.length);
         return out.toByteArray();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/EndpointDeclaration.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/EndpointDeclaration.java
@@ -9,15 +9,15 @@
  *
  * @param id the endpoint
  * @param dataCentre the data centre it runs in
- * @param cell the cell whose VMs are its homes
+ * @param cell the cell whose VMs serve as its homes
  * @param host IP address
  * @param port TCP port, 1 to 65535
- * @param leaving whether the endpoint is to get no new work
+ * @param leaving whether the endpoint is being drained and gets no new work
  */
 public record EndpointDeclaration(
         EndpointId id, DataCentreId dataCentre, CellId cell, String host, int port, boolean leaving) {
 
-    /** Checks the port. */
+    /** Validates the port. */
     public EndpointDeclaration {
         if (port < 1 || port > 65_535) {
             throw new IllegalArgumentException(
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/KeyVerifier.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/KeyVerifier.java
@@ -3,7 +3,7 @@
 import org.hyssopswitch.core.identity.KeyId;
 
 /**
- * A key in the form in which it is stored: a SCRAM-SHA-256 verifier, from which the key cannot be read.
+ * The stored form of a key: a SCRAM-SHA-256 verifier, from which the key cannot be derived.
  *
  * @param id the name of the key
  * @param salt salt in Base64
@@ -13,7 +13,7 @@
  */
 public record KeyVerifier(KeyId id, String salt, int iterations, String storedKey, String serverKey) {
 
-    /** Checks the iteration count. */
+    /** Validates the iteration count. */
     public KeyVerifier {
         if (iterations < 4096) {
             throw new IllegalArgumentException("a key needs at least 4096 iterations, but has " + iterations);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/PlatformWatch.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/PlatformWatch.java
@@ -6,7 +6,7 @@
 import org.hyssopswitch.core.engine.Outbox;
 import org.hyssopswitch.core.engine.PlatformFailure;
 
-/** The one call to the platform that a VM has open, and the delay of the next after a failure. */
+/** The watch of teams' objects on the platform: at most one call is pending, and failures are retried with backoff. */
 final class PlatformWatch {
 
     static final String TEAMS_PATH_PREFIX = "config/teams/";
@@ -26,7 +26,7 @@
         this.random = random;
     }
 
-    /** Opens the call unless one is open or the delay has not passed. */
+    /** Sends a watch unless one is pending or the retry delay has not passed. */
     void openIfDue(long afterVersion, long nowMillis, Outbox out) {
         if (isOpen(nowMillis) || nowMillis < notBeforeMillis) {
             return;
@@ -41,7 +41,7 @@
         return callOpen && nowMillis - lastSentMillis < settings.watchTimeoutMillis();
     }
 
-    /** Takes the answer of the open call; false when it belongs to another. */
+    /** Marks the pending call as answered; returns false if the answer belongs to another call. */
     boolean closeCall(long call) {
         if (!callOpen || call != openCallNumber) {
             return false;
@@ -50,7 +50,7 @@
         return true;
     }
 
-    /** When the call that was answered last was sent. */
+    /** Returns when the last call was sent. */
     long lastSentMillis() {
         return lastSentMillis;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
@@ -8,8 +8,8 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * Ranks the VMs of a cell as relays by rendezvous hashing, so that the next one takes over from a dead one. The ranking is
- * kept until the view changes.
+ * Ranks the VMs of a cell as relays by rendezvous hashing, so that the next VM takes over from a failed relay. The
+ * ranking is cached until the view changes.
  */
 final class RelayRanking {
 
@@ -32,24 +32,24 @@
         return view.self();
     }
 
-    /** The other live members of the own cell. */
+    /** Returns the other live members of this VM's cell. */
     List<VmAddress> otherMembers() {
         refresh();
         return otherMembers;
     }
 
-    /** Whether this VM is among the first live members. */
+    /** Whether this VM is among the given number of highest-ranked members. */
     boolean isRelay(int count) {
         return topRanked(count).contains(self());
     }
 
-    /** The first live members that are not suspected. */
+    /** Returns up to the given number of highest-ranked live members that are not suspected. */
     List<VmAddress> topRanked(int count) {
         refresh();
         return ranked.subList(0, Math.min(count, ranked.size()));
     }
 
-    /** A random live member of one of the few other cells that this VM asks. */
+    /** Returns a random live member of one of the other cells that this VM queries, or an empty list. */
     List<VmAddress> chooseMemberOfOtherCell(List<CellId> cells) {
         List<VmAddress> members = cells.stream()
                 .filter(c -> !c.equals(self().cell()))
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RouteDeclaration.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RouteDeclaration.java
@@ -4,22 +4,22 @@
 import org.hyssopswitch.core.identity.RouteId;
 
 /**
- * A declared route: how statements that name it may be served.
+ * A declared route: how the statements that name it may be run.
  *
  * @param id the route
  * @param database the database it belongs to
  * @param read whether statements only read; enforced by running them read-only
- * @param maxAgeMillis age of data that a read accepts beyond the session's own writes; 0 for the latest
- * @param repeatable whether a statement may be run again after a failure
+ * @param maxAgeMillis staleness that a read accepts, except for the session's own writes; 0 for the latest data
+ * @param repeatable whether a statement may be retried after a failure
  * @param open whether callers without a key may use it; only for reads
  */
 public record RouteDeclaration(
         RouteId id, DatabaseId database, boolean read, long maxAgeMillis, boolean repeatable, boolean open) {
 
-    /** The name of the route of statements that name none: a keyed write that is not repeatable. */
+    /** The route of statements that name none: a write that requires a key and is not repeatable. */
     public static final RouteId UNDECLARED = new RouteId("undeclared");
 
-    /** Checks the combination. */
+    /** Validates the combination of attributes. */
     public RouteDeclaration {
         if (maxAgeMillis < 0) {
             throw new IllegalArgumentException(
@@ -31,7 +31,7 @@
     }
 
     /**
-     * The route of statements that name none.
+     * Returns the route of statements that name none.
      *
      * @param database the database of the statement
      */
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/StartupGate.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/StartupGate.java
@@ -6,10 +6,11 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /**
- * Holds a VM back until it has asked every live member of its cell and has the highest version that it heard of.
+ * Keeps a VM from becoming ready until it has queried every live member of its cell and has the highest version that a
+ * peer announced.
  *
- * <p>A version that the platform has not confirmed lately is served only after a delay, in which the platform was
- * asked: then no one that can be reached knows a later one.
+ * <p>A version without a recent confirmation by the platform is served only after a delay, during which the VM watches
+ * the platform; after it, neither a reachable peer nor a reachable platform has a later version.
  */
 final class StartupGate {
 
@@ -30,33 +31,33 @@
         return ready;
     }
 
-    /** Begins at the first tick. */
+    /** Records the time of the first tick. */
     void start(long nowMillis) {
         if (startMillis == Long.MIN_VALUE) {
             startMillis = nowMillis;
         }
     }
 
-    /** The members that are still to be asked; they count as asked from now on. */
+    /** Marks members as queried and returns those that were not queried before. */
     List<VmAddress> markQueried(List<VmAddress> members, long nowMillis) {
         return members.stream()
                 .filter(m -> queriedMillis.putIfAbsent(m, nowMillis) == null)
                 .toList();
     }
 
-    /** A member answered or cannot be reached. */
+    /** Records that a member has answered or is unreachable. */
     void markAnswered(VmAddress member) {
         if (!ready) {
             queriedMillis.put(member, ANSWERED);
         }
     }
 
-    /** Whether the platform is to be asked directly, because no member has a version that it confirmed lately. */
+    /** Whether to watch the platform directly, because no member has a version with a recent confirmation. */
     boolean shouldQueryPlatform(long ageMillis, long nowMillis) {
         return !ready && ageMillis > MAX_CONFIRMED_AGE_MILLIS && nowMillis - startMillis >= answerTimeoutMillis / 2;
     }
 
-    /** Whether a relay may watch the platform: a VM without a version lets its peers answer first. */
+    /** Whether a relay may watch the platform: a VM without a version waits for its peers first. */
     boolean mayWatch(long version, long nowMillis) {
         return ready || version > 0 || nowMillis - startMillis >= answerTimeoutMillis / 2;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeChange.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeChange.java
@@ -3,7 +3,7 @@
 import org.hyssopswitch.core.identity.TeamId;
 
 /**
- * A subtree in transit.
+ * A subtree as VMs send it to each other.
  *
  * @param team the team
  * @param version version of the subtree
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeDecoder.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeDecoder.java
@@ -4,12 +4,12 @@
 import org.hyssopswitch.core.failure.Failure;
 import org.hyssopswitch.core.identity.TeamId;
 
-/** Reads the value of a team's object. */
+/** Decodes the value of a team's object. */
 @FunctionalInterface
 public interface SubtreeDecoder {
 
     /**
-     * Reads a value.
+     * Decodes a value.
      *
      * @param team the team
      * @param version version of the object
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeDelta.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeDelta.java
@@ -10,15 +10,16 @@
 import java.util.zip.Inflater;
 
 /**
- * Encodes a value against an older one that the receiver has, as literals and copies from the older value, compressed.
+ * Delta encoding of a value against an older value that the receiver has: literals and copies from the older value,
+ * compressed.
  *
- * <p>The sender finds the common parts by itself, as in J. Barreto and P. Ferreira, "Efficient Locally Trackable
- * Deduplication in Replicated Systems": it knows from the receiver's version what the receiver has, so that no hashes
- * and no further round are needed. A checksum detects a wrong base.
+ * <p>The sender finds the common parts on its own, as in J. Barreto and P. Ferreira, "Efficient Locally Trackable
+ * Deduplication in Replicated Systems": the receiver's version tells the sender which values the receiver has, so that
+ * neither an exchange of hashes nor another round trip is needed. A hash of the value detects a wrong base.
  */
 public final class SubtreeDelta {
 
-    /** Greatest length of a decoded value. */
+    /** Maximum length of a decoded value. */
     public static final int MAX_VALUE_BYTES = 2 << 20;
 
     private static final int HEADER_BYTES = Integer.BYTES;
@@ -47,7 +48,7 @@
      *
      * @param base the older value; empty for none
      * @param encoded the encoded value
-     * @return the value, or nothing when it was encoded against another base or is damaged
+     * @return the value, or empty if it was encoded against another base or is corrupted
      */
     public static Optional<byte[]> decode(byte[] base, byte[] encoded) {
         try {
@@ -84,11 +85,11 @@
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 if (count == 0 && !inflater.finished()) {
-                    throw new DataFormatException("the compressed bytes end early or need a dictionary");
+                    throw new DataFormatException("compressed data is truncated or requires a dictionary");
                 }
                 out.write(buffer, 0, count);
                 if (out.size() > 2 * MAX_VALUE_BYTES) {
-                    throw new DataFormatException("the value is too long");
+                    throw new DataFormatException("decompressed data is too long");
                 }
             }
             return out.toByteArray();
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeFetcher.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeFetcher.java
@@ -14,11 +14,12 @@
 import org.hyssopswitch.core.identity.VmAddress;
 
 /**
- * Pulls the subtrees of a higher version from a peer, page by page, and hands them over when they are whole.
+ * Fetches the subtrees of a higher version from a peer, page by page, and returns them once they form a complete
+ * version.
  *
- * <p>Pages are in order of version, so another peer can go on where one has failed. A sender knows only the latest
- * version of each subtree; the pages are therefore whole only when they reach the highest version that any sender of
- * them had.
+ * <p>Pages are in ascending order of version, so another peer can continue where one has failed. A sender has only the
+ * latest version of each subtree; the pages are therefore complete only when they reach the highest version that any of
+ * their senders had.
  */
 final class SubtreeFetcher {
 
@@ -44,17 +45,17 @@
         this.random = random;
     }
 
-    /** The highest version that a peer has announced. */
+    /** Returns the highest version that any peer has announced. */
     long highestAnnouncedVersion() {
         return highestAnnouncedVersion;
     }
 
-    /** Whether a peer that has not failed since has announced a higher version than the one in force. */
+    /** Whether a peer that has not failed since its announcement has a higher version than the one in force. */
     boolean isBehind() {
         return sources.values().stream().anyMatch(v -> v > store.version());
     }
 
-    /** Remembers that a peer has a version. */
+    /** Records the version that a peer has in force; a peer with a higher version than this VM becomes a source. */
     void recordVersion(VmAddress from, long version) {
         highestAnnouncedVersion = Math.max(highestAnnouncedVersion, version);
         if (version <= store.version()) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Asks a peer when one is known to have a higher version and no answer is awaited. */
+    /** Requests a page when a peer has a higher version and no request is pending; times out a pending request. */
     void tick(long nowMillis, Outbox out) {
         if (awaitedPeer != null && nowMillis - requestSentMillis > settings.answerTimeoutMillis()) {
             sources.remove(awaitedPeer);
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Takes a page; gives the staged subtrees and their version when they are whole. */
+    /** Stages the changes of a page; returns the staged subtrees and their version once they are complete. */
     Option<CompleteVersion> handlePage(VmAddress from, ConfigurationPage page, long nowMillis, Outbox out) {
         if (!from.equals(awaitedPeer) || page.sequence() != sequence) {
             return Option.none();
@@ -104,7 +105,7 @@
         return advance(from, page, nowMillis, out);
     }
 
-    /** Forgets what is staged, because another version came into force meanwhile. */
+    /** Discards the staged subtrees and the pending request, for example because another version came into force. */
     void reset() {
         staged.clear();
         cursor = 0;
@@ -113,7 +114,10 @@
         awaitedPeer = null;
     }
 
-    /** The base was another than the sender thought; a whole value that cannot be read ends the source. */
+    /**
+     * Starts over without bases after a value could not be decoded, because the sender assumed another base than this
+     * VM has. A value that cannot be decoded without a base either removes the source.
+     */
     private void retryWithoutBase(VmAddress from, long nowMillis, Outbox out) {
         boolean wasWithoutBase = withoutBase;
         reset();
@@ -150,7 +154,7 @@
                 source, new ConfigurationRequest(sequence, store.version(), after, withoutBase)));
     }
 
-    /** A random one among the sources of the highest version. */
+    /** Returns a random source among those with the highest version. */
     private Optional<VmAddress> chooseSource() {
         long best = sources.values().stream().mapToLong(v -> v).max().orElse(0);
         List<VmAddress> candidates = sources.entrySet().stream()
@@ -185,6 +189,6 @@
                 .flatMap(base -> SubtreeDelta.decode(base, change.encoded()));
     }
 
-    /** The subtrees that make a whole version. */
+    /** The changed subtrees that complete a version. */
     record CompleteVersion(Collection<Subtree> subtrees, long version) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeStore.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeStore.java
@@ -11,9 +11,10 @@
 import org.hyssopswitch.core.identity.TeamId;
 
 /**
- * The subtrees of the version in force, and older values of some, against which newer ones are encoded.
+ * The subtrees of the version in force, and older values of some subtrees, which serve as bases for encoding newer
+ * ones.
  *
- * <p>Removed subtrees are kept without a value, so that their removal can be passed on.
+ * <p>Removed subtrees are kept as tombstones without a value, so that their removal reaches other VMs.
  */
 final class SubtreeStore {
 
@@ -31,12 +32,12 @@
         this.maxOlderBytes = maxOlderBytes;
     }
 
-    /** The version in force. */
+    /** Returns the version in force. */
     long version() {
         return version;
     }
 
-    /** Replaces subtrees by newer ones, which together make a whole version. */
+    /** Replaces subtrees by newer ones, which complete the new version; returns those that were applied. */
     List<Subtree> apply(Collection<Subtree> changes, long newVersion) {
         List<Subtree> applied = new ArrayList<>();
         for (Subtree change : changes) {
@@ -50,13 +51,13 @@
         return applied;
     }
 
-    /** The value of a team's subtree if it has a version. */
+    /** Returns the value of a team's subtree if that subtree currently has the given version. */
     Optional<byte[]> value(TeamId team, long ofVersion) {
         Subtree subtree = byTeam.get(team);
         return subtree != null && subtree.version() == ofVersion ? Optional.of(subtree.value()) : Optional.empty();
     }
 
-    /** The subtrees that a VM lacks, up to a number of bytes. */
+    /** Creates a page of the subtrees that a VM lacks, which ends once it has the given number of encoded bytes. */
     ConfigurationPage createPage(ConfigurationRequest request, int maxBytes) {
         List<SubtreeChange> changes = new ArrayList<>();
         long upTo = request.afterVersion();
@@ -99,7 +100,7 @@
         return result;
     }
 
-    /** The newest older value that a VM with a version may have; the VM checks whether it does. */
+    /** Finds the newest older value that a VM at the given version may have; the VM verifies it when decoding. */
     private Optional<SubtreeKey> findBase(Subtree subtree, long appliedVersion) {
         return olderValues.keySet().stream()
                 .filter(k -> k.team().equals(subtree.team()) && k.version() <= appliedVersion)
@@ -130,6 +131,6 @@
     /** One version of a team's subtree. */
     private record SubtreeKey(TeamId team, long version) {}
 
-    /** A version of a subtree encoded against another. */
+    /** A version of a subtree that is encoded against a base version. */
     private record EncodedKey(SubtreeKey subtree, long baseVersion) {}
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/TeamConfiguration.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/TeamConfiguration.java
@@ -19,7 +19,7 @@
         List<AccountDeclaration> accounts,
         List<RouteDeclaration> routes) {
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     public TeamConfiguration {
         databases = List.copyOf(databases);
         accounts = List.copyOf(accounts);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
@@ -24,7 +24,7 @@
 import org.hyssopswitch.core.identity.VmId;
 import org.hyssopswitch.core.message.PeerMessage;
 
-/** A few systems, a platform and a link between each pair that a test delays, drops from and cuts; virtual time. */
+/** Several VMs, a platform and links with injected delay, message loss and partitions, in virtual time. */
 final class ConfigurationCluster {
 
     static final long STEP_MILLIS = 50;
@@ -100,7 +100,7 @@
         updateViews();
     }
 
-    /** Starts a VM, or starts it again with a new incarnation and without any memory. */
+    /** Starts a VM, or restarts it with a new incarnation and without any state. */
     void start(int index) {
         incarnations++;
         VmAddress self = new VmAddress(
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Runs until all VMs have the platform's version, and returns the time it took. */
+    /** Runs until all VMs have the platform's version in force; returns the elapsed time in milliseconds. */
     long runUntilConverged(long limitMillis) {
         long begin = nowMillis;
         while (!isConverged()) {
@@ -204,7 +204,7 @@
 
     private record OpenWatch(int index, VmAddress from, long call, long after, long sentMillis) {}
 
-    /** One VM. */
+    /** A simulated VM. */
     private final class Node {
 
         private final VmAddress self;
@@ -253,7 +253,7 @@
             }
         }
 
-        /** A version in force is whole: it has exactly the subtrees that the platform had at that version. */
+        /** Checks that a version in force is complete: it has exactly the subtrees of the platform at that version. */
         private void checkWhole(Configuration configuration) {
             assertEquals(configuration, engine.configuration(), "a version must never revert");
             Map<String, Long> teams = new HashMap<>();
@@ -262,7 +262,7 @@
         }
     }
 
-    /** Values that begin with "invalid" cannot be read. */
+    /** Fails for values that begin with "invalid". */
     static Either<? extends Failure, TeamConfiguration> decode(
             org.hyssopswitch.core.identity.TeamId team, long version, byte[] value) {
         String text = new String(value, java.nio.charset.StandardCharsets.UTF_8);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationSystemTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationSystemTests.java
@@ -79,7 +79,7 @@
             int before = cluster.platform().calls();
             cluster.run(300_000);
             int calls = cluster.platform().calls() - before;
-            // Two relays at no more than one call per 2.5 s, the others together at one per 5 s on average.
+            // Two relays at no more than one call per 2.5 s, the other VMs together at one per 5 s on average.
             assertTrue(calls <= 2 * 300 / 2 + 300 / 5 * 3 / 2 + 300 / 5, () -> size + " VMs made " + calls + " calls");
             assertTrue(cluster.status(0).ageMillis(cluster.nowMillis()) > 290_000);
             cluster.platform().setAvailable(true);
@@ -215,7 +215,7 @@
                 cluster.platform().configurationVersion(), cluster.status(1).version());
     }
 
-    /** The cluster itself checks that no version reverts and that every version in force is whole. */
+    /** The cluster itself checks that no version reverts and that every version in force is complete. */
     @Property(seed = "908180", tries = 150)
     void anyScheduleOfFaultsEndsInTheLatestVersion(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeConfigurationPlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeConfigurationPlatform.java
@@ -11,7 +11,7 @@
 import org.hyssopswitch.core.engine.PrefixChanges;
 import org.hyssopswitch.core.engine.StoredObject;
 
-/** The objects below {@code config/teams/}, with all versions that were ever accepted. */
+/** Platform with the objects below {@code config/teams/}, the history of their versions, and cell reports. */
 final class FakeConfigurationPlatform {
 
     private final TreeMap<Long, StoredObject> current = new TreeMap<>();
@@ -66,7 +66,7 @@
         return !current.tailMap(after, false).isEmpty();
     }
 
-    /** Reads an object outside the prefix. */
+    /** Reads a cell report. */
     Either<PlatformFailure, StoredObject> readReport(String path) {
         calls++;
         return available
@@ -74,7 +74,7 @@
                 : Either.left(new PlatformFailure.NoAnswer(path, "down"));
     }
 
-    /** Updates an object outside the prefix. */
+    /** Updates a cell report if it has the expected version. */
     Either<PlatformFailure, StoredObject> updateReport(String path, long expected, byte[] value) {
         Either<PlatformFailure, StoredObject> current = readReport(path);
         if (current.isLeft()) {
@@ -90,7 +90,7 @@
         return Either.right(updated);
     }
 
-    /** The text of an object outside the prefix. */
+    /** Returns the text of a cell report. */
     String reportText(String path) {
         return new String(reports.get(path).value(), StandardCharsets.UTF_8);
     }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeMembershipView.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeMembershipView.java
@@ -8,7 +8,7 @@
 import org.hyssopswitch.core.identity.VmId;
 import org.hyssopswitch.core.membership.MembershipView;
 
-/** A view that a test sets. */
+/** Membership view whose live members are set by a test. */
 final class FakeMembershipView implements MembershipView {
 
     private final VmAddress self;
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/package-info.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the spread of configurations. */
+/** Tests of the distribution of configurations. */
 package org.hyssopswitch.core.configuration;
