--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/BlockMatcher.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/BlockMatcher.java
@@ -5,33 +5,33 @@
 import java.util.Map;
 
 /**
- * Finds the parts of a value that an older one has: blocks of the older value are looked up by a rolling hash at every
- * position of the value, and a match is extended both ways.
+ * Finds the byte ranges that a value shares with a base value. Blocks of the base are indexed by hash and looked up
+ * with a rolling hash at every position of the value; a match is extended in both directions.
  */
 final class BlockMatcher {
 
     private static final int BLOCK_BYTES = 24;
-    private static final int FACTOR = 0x01000193;
+    private static final int HASH_FACTOR = 0x01000193;
 
     private final byte[] base;
     private final byte[] value;
-    private final Map<Integer, Integer> blocks = new HashMap<>();
-    private final int topFactor;
+    private final Map<Integer, Integer> offsetsByHash = new HashMap<>();
+    private final int leadingFactor;
 
     BlockMatcher(byte[] base, byte[] value) {
         this.base = base;
         this.value = value;
         int factor = 1;
         for (int i = 1; i < BLOCK_BYTES; i++) {
-            factor *= FACTOR;
+            factor *= HASH_FACTOR;
         }
-        this.topFactor = factor;
+        this.leadingFactor = factor;
         for (int offset = 0; offset + BLOCK_BYTES <= base.length; offset += BLOCK_BYTES) {
-            blocks.putIfAbsent(hashBlock(base, offset), offset);
+            offsetsByHash.putIfAbsent(hashBlock(base, offset), offset);
         }
     }
 
-    /** Writes a copy for each match, in order; what lies between is left to literals. */
+    /** Writes a copy for each match, in ascending order; the writer covers the gaps with literals. */
     void writeMatches(DeltaWriter writer) {
         int position = 0;
         int hash = value.length >= BLOCK_BYTES ? hashBlock(value, 0) : 0;
@@ -42,20 +42,20 @@
                 position++;
                 continue;
             }
-            int back = matchLengthBefore(found, position, position - writer.writtenBytes());
+            int lengthBefore = matchLengthBefore(found, position, position - writer.writtenBytes());
             int length = matchLengthAfter(found, position);
-            writer.writeCopy(found - back, position - back, back + length);
+            writer.writeCopy(found - lengthBefore, position - lengthBefore, lengthBefore + length);
             position += length;
             hash = position + BLOCK_BYTES <= value.length ? hashBlock(value, position) : 0;
         }
     }
 
-    /** The place in the base of the block at a position, or -1; a place that goes on from the last copy is preferred. */
-    private int findInBase(int position, int hash, int shift) {
-        if (isBlockAt(position + shift, position)) {
-            return position + shift;
+    /** Returns the offset in the base of the block at a position, or -1; prefers the continuation of the last copy. */
+    private int findInBase(int position, int hash, int copyShift) {
+        if (isBlockAt(position + copyShift, position)) {
+            return position + copyShift;
         }
-        Integer offset = blocks.get(hash);
+        Integer offset = offsetsByHash.get(hash);
         return offset != null && isBlockAt(offset, position) ? offset : -1;
     }
 
@@ -80,13 +80,13 @@
 
     private int rollHash(int hash, int position) {
         int next = position + BLOCK_BYTES;
-        return next < value.length ? (hash - value[position] * topFactor) * FACTOR + value[next] : 0;
+        return next < value.length ? (hash - value[position] * leadingFactor) * HASH_FACTOR + value[next] : 0;
     }
 
     private static int hashBlock(byte[] bytes, int offset) {
         int hash = 0;
         for (int i = offset; i < offset + BLOCK_BYTES; i++) {
-            hash = hash * FACTOR + bytes[i];
+            hash = hash * HASH_FACTOR + bytes[i];
         }
         return hash;
     }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
@@ -23,17 +23,18 @@
 import org.hyssopswitch.core.message.PeerMessage;
 
 /**
- * Spreads accepted configurations: the relays of a cell watch the platform and announce a new version to their cell;
- * every VM also asks a random member now and then, and pulls the subtrees that it lacks.
+ * Distributes accepted configurations: the relays of a cell watch the platform and announce a new version to their
+ * cell; every VM also queries a random member periodically and fetches the subtrees that it lacks.
  *
- * <p>The version is the highest version of a team's object. All objects up to it make one whole configuration, because
- * the platform numbers all updates in one order. A VM applies only whole and higher versions and persists nothing.
+ * <p>The configuration's version is the highest version of any team's object. All objects up to it form a complete
+ * configuration, because the platform numbers all updates in a total order. A VM applies only complete and higher
+ * versions and persists nothing.
  */
 public final class ConfigurationSystem implements DecisionSystem, ConfigurationStatus {
 
     private static final int MAX_PENDING_QUERIES = 128;
-    private static final long ELSEWHERE_DELAY_MILLIS = 500;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long MAX_OTHER_CELLS_DELAY_MILLIS = 500;
+    private static final long NEVER_CONFIRMED = Long.MIN_VALUE;
 
     private final ConfigurationSettings settings;
     private final SubtreeDecoder decoder;
@@ -41,15 +42,15 @@
     private final RelayRanking ranking;
     private final SubtreeStore store;
     private final PlatformWatch watch;
-    private final SubtreeFetcher catchUp;
+    private final SubtreeFetcher fetcher;
     private final StartupGate gate;
-    private final ByteRateLimiter budget;
+    private final ByteRateLimiter pageLimiter;
     private final CellReporter reporter;
     private final Map<TeamId, TeamConfiguration> teams = new HashMap<>();
     private final Map<TeamId, Failure> rejected = new HashMap<>();
-    private final Map<Long, Long> queries = new LinkedHashMap<>();
-    private List<CellId> cells = List.of();
-    private long confirmedMillis = NEVER;
+    private final Map<Long, Long> pendingQueries = new LinkedHashMap<>();
+    private List<CellId> configuredCells = List.of();
+    private long confirmedMillis = NEVER_CONFIRMED;
     private long querySequence;
     private long nextQueryMillis;
     private long nextFallbackMillis;
@@ -57,28 +58,28 @@
     /**
      * Creates the system.
      *
-     * @param view the VMs that this one knows
-     * @param decoder reads the values of teams' objects
-     * @param settings times and bounds
-     * @param numbers numbers calls uniquely within this VM
+     * @param view the membership view of this VM
+     * @param decoder decodes the values of teams' objects
+     * @param settings intervals, timeouts and limits
+     * @param callNumbers supplies call numbers that are unique within this VM
      * @param random source of randomness
      */
     public ConfigurationSystem(
             MembershipView view,
             SubtreeDecoder decoder,
             ConfigurationSettings settings,
-            LongSupplier numbers,
+            LongSupplier callNumbers,
             RandomGenerator random) {
         this.settings = settings;
         this.decoder = decoder;
         this.random = random;
         this.ranking = new RelayRanking(view, random);
-        this.store = new SubtreeStore(settings.olderBytes());
-        this.watch = new PlatformWatch(settings, numbers, random);
-        this.catchUp = new SubtreeFetcher(store, settings, random);
+        this.store = new SubtreeStore(settings.maxOlderBytes());
+        this.watch = new PlatformWatch(settings, callNumbers, random);
+        this.fetcher = new SubtreeFetcher(store, settings, random);
         this.gate = new StartupGate(settings.answerTimeoutMillis());
-        this.reporter = new CellReporter(view.self(), numbers);
-        this.budget = new ByteRateLimiter(settings.serveBytesPerSecond());
+        this.reporter = new CellReporter(view.self(), callNumbers);
+        this.pageLimiter = new ByteRateLimiter(settings.serveBytesPerSecond());
     }
 
     @Override
@@ -88,12 +89,12 @@
 
     @Override
     public long highestKnownVersion() {
-        return Math.max(store.version(), catchUp.highestAnnouncedVersion());
+        return Math.max(store.version(), fetcher.highestAnnouncedVersion());
     }
 
     @Override
     public long ageMillis(long nowMillis) {
-        return confirmedMillis == NEVER ? Long.MAX_VALUE : Math.max(0, nowMillis - confirmedMillis);
+        return confirmedMillis == NEVER_CONFIRMED ? Long.MAX_VALUE : Math.max(0, nowMillis - confirmedMillis);
     }
 
     @Override
@@ -109,32 +110,32 @@
     @Override
     public void tick(long nowMillis, Outbox out) {
         gate.start(nowMillis);
-        boolean relay = ranking.isRelay(settings.relays());
-        if (relay && gate.mayWatch(store.version(), nowMillis)) {
+        boolean isRelay = ranking.isRelay(settings.relaysPerCell());
+        if (isRelay && gate.mayWatch(store.version(), nowMillis)) {
             watch.openIfDue(store.version(), nowMillis, out);
         }
         if (!gate.isReady()) {
             gate.markQueried(ranking.otherMembers(), nowMillis).forEach(m -> sendQuery(m, nowMillis, out));
         }
         sendQueryIfDue(nowMillis, out);
-        fallBackIfDue(relay, nowMillis, out);
-        catchUp.tick(nowMillis, out);
-        gate.updateReadiness(store.version(), catchUp.isBehind(), ageMillis(nowMillis), nowMillis);
+        fallBackIfDue(isRelay, nowMillis, out);
+        fetcher.tick(nowMillis, out);
+        gate.updateReadiness(store.version(), fetcher.isBehind(), ageMillis(nowMillis), nowMillis);
         reporter.tick(ranking.isRelay(1), store.version(), ranking.otherMembers(), nowMillis, out);
     }
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.PrefixWatchCompleted answered && watch.closeCall(answered.call())) {
+        if (event instanceof Event.PrefixAnswered answered && watch.closeCall(answered.call())) {
             answered.result()
                     .peek(changes -> handleChanges(changes, nowMillis, out))
                     .peekLeft(failure -> watch.recordFailure(failure, nowMillis));
-        } else if (event instanceof Event.ObjectCallCompleted answered) {
+        } else if (event instanceof Event.ObjectAnswered answered) {
             reporter.handleAnswer(answered.call(), answered.result(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             handleMessage(received.from(), received.message(), nowMillis, out);
         } else if (event instanceof Event.LinkFailed failed) {
-            catchUp.removeSource(failed.to());
+            fetcher.removeSource(failed.to());
             gate.markAnswered(failed.to());
         }
     }
@@ -148,40 +149,43 @@
         } else if (message instanceof ConfigurationRequest request) {
             sendPage(from, request, nowMillis, out);
         } else if (message instanceof ConfigurationPage page) {
-            catchUp.handlePage(from, page, nowMillis, out).forEach(w -> applyVersion(w.subtrees(), w.version(), nowMillis, out));
+            fetcher.handlePage(from, page, nowMillis, out)
+                    .forEach(w -> applyVersion(w.subtrees(), w.version(), nowMillis, out));
         }
     }
 
     private void recordPeerVersion(VmAddress from, long version, long nowMillis, Outbox out) {
         reporter.recordVersion(from, version);
         if (version > store.version()) {
-            catchUp.recordVersion(from, version);
-            catchUp.tick(nowMillis, out);
+            fetcher.recordVersion(from, version);
+            fetcher.tick(nowMillis, out);
         }
     }
 
-    /** An answer confirms what it says as of the time of the question, however long it was under way. */
-    private void handleAnnouncement(VmAddress from, ConfigurationAnnouncement announcement, long nowMillis, Outbox out) {
-        Long askedMillis = queries.remove(announcement.sequence());
+    /** A confirmation counts from the sending of the query, however long the answer was in flight. */
+    private void handleAnnouncement(
+            VmAddress from, ConfigurationAnnouncement announcement, long nowMillis, Outbox out) {
+        Long querySentMillis = pendingQueries.remove(announcement.sequence());
         recordPeerVersion(from, announcement.version(), nowMillis, out);
-        if (askedMillis == null) {
+        if (querySentMillis == null) {
             return;
         }
         gate.markAnswered(from);
         if (announcement.ageMillis() >= 0 && announcement.version() <= store.version() && store.version() > 0) {
-            confirmedMillis = Math.max(confirmedMillis, askedMillis - announcement.ageMillis());
+            confirmedMillis = Math.max(confirmedMillis, querySentMillis - announcement.ageMillis());
         }
     }
 
     private void sendPage(VmAddress from, ConfigurationRequest request, long nowMillis, Outbox out) {
-        long busyMillis = budget.waitMillis(nowMillis);
+        long busyMillis = pageLimiter.waitMillis(nowMillis);
         if (busyMillis > 0) {
             out.add(new Action.SendMessage(
                     from, new ConfigurationPage(request.sequence(), 0, store.version(), List.of(), busyMillis)));
             return;
         }
         ConfigurationPage page = store.createPage(request, settings.pageBytes());
-        budget.consume(page.changes().stream().mapToLong(c -> c.encoded().length).sum());
+        pageLimiter.consume(
+                page.changes().stream().mapToLong(c -> c.encoded().length).sum());
         out.add(new Action.SendMessage(from, page));
     }
 
@@ -193,12 +197,12 @@
                 .max()
                 .orElse(0);
         if (version > store.version()) {
-            catchUp.reset();
+            fetcher.reset();
             applyVersion(subtrees(changes), version, nowMillis, out);
             ConfigurationAnnouncement announcement = createAnnouncement(0, nowMillis);
             ranking.otherMembers().forEach(m -> out.add(new Action.SendMessage(m, announcement)));
         }
-        if (ranking.isRelay(settings.relays())) {
+        if (ranking.isRelay(settings.relaysPerCell())) {
             watch.openIfDue(store.version(), nowMillis, out);
         }
     }
@@ -211,10 +215,10 @@
         return result;
     }
 
-    /** The team of an object, or nothing when the object is not one of ours. */
+    /** Returns the team of an object, or an empty list if the path does not name a team. */
     private static List<TeamId> parseTeam(String path) {
         try {
-            return List.of(new TeamId(path.substring(PlatformWatch.PREFIX.length())));
+            return List.of(new TeamId(path.substring(PlatformWatch.TEAMS_PATH_PREFIX.length())));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             return List.of();
         }
@@ -226,21 +230,23 @@
         }
         store.apply(subtrees, version).forEach(this::decodeSubtree);
         Configuration configuration = new Configuration(version, teams);
-        cells = configuration.databases().values().stream()
+        configuredCells = configuration.databases().values().stream()
                 .flatMap(d -> d.endpoints().stream())
                 .map(EndpointDeclaration::cell)
                 .distinct()
                 .toList();
         out.add(new Action.ApplyConfiguration(configuration));
         if (!gate.isReady()) {
-            // The cells are known now; those elsewhere are asked soon, not at the next regular time.
-            nextFallbackMillis = Math.min(nextFallbackMillis, nowMillis + random.nextLong(ELSEWHERE_DELAY_MILLIS));
+            // The configuration lists the other cells, so they are queried soon rather than at the next regular
+            // interval.
+            nextFallbackMillis =
+                    Math.min(nextFallbackMillis, nowMillis + random.nextLong(MAX_OTHER_CELLS_DELAY_MILLIS));
         }
         announceToReporter(nowMillis, out);
-        gate.updateReadiness(version, catchUp.isBehind(), ageMillis(nowMillis), nowMillis);
+        gate.updateReadiness(version, fetcher.isBehind(), ageMillis(nowMillis), nowMillis);
     }
 
-    /** Tells the VM that reports for the cell, so that operators need not wait for the next query. */
+    /** Announces the version to the reporter of the cell, so that the report need not wait for the next query. */
     private void announceToReporter(long nowMillis, Outbox out) {
         ConfigurationAnnouncement announcement = createAnnouncement(0, nowMillis);
         ranking.topRanked(1).stream()
@@ -269,7 +275,7 @@
         if (nowMillis < nextQueryMillis) {
             return;
         }
-        nextQueryMillis = nowMillis + jitter(settings.queryMillis());
+        nextQueryMillis = nowMillis + jitter(settings.queryIntervalMillis());
         List<VmAddress> others = ranking.otherMembers();
         if (!others.isEmpty()) {
             sendQuery(others.get(random.nextInt(others.size())), nowMillis, out);
@@ -278,30 +284,31 @@
 
     private void sendQuery(VmAddress member, long nowMillis, Outbox out) {
         querySequence++;
-        queries.put(querySequence, nowMillis);
-        if (queries.size() > MAX_PENDING_QUERIES) {
-            queries.remove(queries.keySet().iterator().next());
+        pendingQueries.put(querySequence, nowMillis);
+        if (pendingQueries.size() > MAX_PENDING_QUERIES) {
+            pendingQueries.remove(pendingQueries.keySet().iterator().next());
         }
         out.add(new Action.SendMessage(member, new ConfigurationQuery(querySequence, store.version())));
     }
 
     /**
-     * When the relays of the cell do not confirm the version, the others ask the platform at a rate that is bounded for
-     * the cell, and relays ask other cells.
+     * While the relays of the cell do not confirm the version, the other VMs watch the platform at a rate that is
+     * limited per cell, and relays query other cells. A starting VM does both unless it is a relay, which watches the
+     * platform anyway.
      */
-    private void fallBackIfDue(boolean relay, long nowMillis, Outbox out) {
+    private void fallBackIfDue(boolean isRelay, long nowMillis, Outbox out) {
         boolean starting = gate.shouldQueryPlatform(ageMillis(nowMillis), nowMillis);
-        boolean stale = gate.isReady() && ageMillis(nowMillis) > settings.staleMillis();
+        boolean stale = gate.isReady() && ageMillis(nowMillis) > settings.staleAfterMillis();
         if ((!starting && !stale) || nowMillis < nextFallbackMillis) {
             return;
         }
         int members = ranking.otherMembers().size() + 1;
-        nextFallbackMillis = nowMillis + jitter(settings.fallbackMillis() * (relay ? 1 : members));
-        if (!relay) {
+        nextFallbackMillis = nowMillis + jitter(settings.fallbackIntervalMillis() * (isRelay ? 1 : members));
+        if (!isRelay) {
             watch.openIfDue(store.version(), nowMillis, out);
         }
-        if (relay || starting) {
-            ranking.chooseMemberOfOtherCell(cells).forEach(m -> sendQuery(m, nowMillis, out));
+        if (isRelay || starting) {
+            ranking.chooseMemberOfOtherCell(configuredCells).forEach(m -> sendQuery(m, nowMillis, out));
         }
     }
 
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/RelayRanking.java
@@ -8,20 +8,20 @@
 import org.hyssopswitch.core.placement.RendezvousUtils;
 
 /**
- * Ranks the VMs of a cell as relays by rendezvous hashing, so that the next one takes over from a dead one. The ranking is
- * kept until the view changes.
+ * Ranks the VMs of a cell as relays by rendezvous hashing, so that the next VM takes over from a failed relay. The
+ * ranking is cached until the view changes.
  */
 final class RelayRanking {
 
-    private static final String KEY = "relay";
-    private static final int CELLS_ELSEWHERE = 2;
+    private static final String RANKING_KEY = "relay";
+    private static final int MAX_OTHER_CELLS = 2;
 
     private final MembershipView view;
     private final RandomGenerator random;
     private List<VmAddress> ranked = List.of();
-    private List<VmAddress> others = List.of();
+    private List<VmAddress> otherMembers = List.of();
     private long rankedVersion;
-    private boolean isRanked;
+    private boolean initialized;
 
     RelayRanking(MembershipView view, RandomGenerator random) {
         this.view = view;
@@ -32,29 +32,29 @@
         return view.self();
     }
 
-    /** The other live members of the own cell. */
+    /** Returns the other live members of this VM's cell. */
     List<VmAddress> otherMembers() {
         refresh();
-        return others;
+        return otherMembers;
     }
 
-    /** Whether this VM is among the first live members. */
-    boolean isRelay(int relays) {
-        return topRanked(relays).contains(self());
+    /** Whether this VM is among the given number of highest-ranked members. */
+    boolean isRelay(int count) {
+        return topRanked(count).contains(self());
     }
 
-    /** The first live members that are not suspected. */
+    /** Returns up to the given number of highest-ranked live members that are not suspected. */
     List<VmAddress> topRanked(int count) {
         refresh();
         return ranked.subList(0, Math.min(count, ranked.size()));
     }
 
-    /** A random live member of one of the few other cells that this VM asks. */
+    /** Returns a random live member of one of the other cells that this VM queries, or an empty list. */
     List<VmAddress> chooseMemberOfOtherCell(List<CellId> cells) {
         List<VmAddress> members = cells.stream()
                 .filter(c -> !c.equals(self().cell()))
                 .sorted(RendezvousUtils.byScore(self().vm().value(), CellId::value))
-                .limit(CELLS_ELSEWHERE)
+                .limit(MAX_OTHER_CELLS)
                 .flatMap(c -> view.live(c).stream())
                 .filter(a -> !view.isSuspected(a))
                 .toList();
@@ -62,16 +62,16 @@
     }
 
     private void refresh() {
-        if (isRanked && rankedVersion == view.version()) {
+        if (initialized && rankedVersion == view.version()) {
             return;
         }
         List<VmAddress> live = view.live(self().cell());
-        others = live.stream().filter(a -> !a.equals(self())).toList();
+        otherMembers = live.stream().filter(a -> !a.equals(self())).toList();
         ranked = live.stream()
                 .filter(a -> a.equals(self()) || !view.isSuspected(a))
-                .sorted(RendezvousUtils.byScore(KEY, a -> a.vm().value()))
+                .sorted(RendezvousUtils.byScore(RANKING_KEY, a -> a.vm().value()))
                 .toList();
         rankedVersion = view.version();
-        isRanked = true;
+        initialized = true;
     }
 }
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeStore.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/SubtreeStore.java
@@ -11,19 +11,20 @@
 import org.hyssopswitch.core.identity.TeamId;
 
 /**
- * The subtrees of the version in force, and older values of some, against which newer ones are encoded.
+ * The subtrees of the version in force, and older values of some subtrees, which serve as bases for encoding newer
+ * ones.
  *
- * <p>Removed subtrees are kept without a value, so that their removal can be passed on.
+ * <p>Removed subtrees are kept as tombstones without a value, so that their removal reaches other VMs.
  */
 final class SubtreeStore {
 
-    private static final int MAX_ENCODED = 64;
+    private static final int MAX_CACHED_ENCODINGS = 64;
 
     private final long maxOlderBytes;
     private final Map<TeamId, Subtree> byTeam = new HashMap<>();
     private final TreeMap<Long, Subtree> byVersion = new TreeMap<>();
-    private final Map<SubtreeKey, byte[]> older = new LinkedHashMap<>();
-    private final Map<EncodedKey, byte[]> encoded = new LinkedHashMap<>();
+    private final Map<SubtreeKey, byte[]> olderValues = new LinkedHashMap<>();
+    private final Map<EncodedKey, byte[]> encodedValues = new LinkedHashMap<>();
     private long olderBytes;
     private long version;
 
@@ -31,12 +32,12 @@
         this.maxOlderBytes = maxOlderBytes;
     }
 
-    /** The version in force. */
+    /** Returns the version in force. */
     long version() {
         return version;
     }
 
-    /** Replaces subtrees by newer ones, which together make a whole version. */
+    /** Replaces subtrees by newer ones, which complete the new version; returns those that were applied. */
     List<Subtree> apply(Collection<Subtree> changes, long newVersion) {
         List<Subtree> applied = new ArrayList<>();
         for (Subtree change : changes) {
@@ -50,13 +51,13 @@
         return applied;
     }
 
-    /** The value of a team's subtree if it has a version. */
+    /** Returns the value of a team's subtree if that subtree currently has the given version. */
     Optional<byte[]> value(TeamId team, long ofVersion) {
         Subtree subtree = byTeam.get(team);
         return subtree != null && subtree.version() == ofVersion ? Optional.of(subtree.value()) : Optional.empty();
     }
 
-    /** The subtrees that a VM lacks, up to a number of bytes. */
+    /** Creates a page of the subtrees that a VM lacks, which ends once it has the given number of encoded bytes. */
     ConfigurationPage createPage(ConfigurationRequest request, int maxBytes) {
         List<SubtreeChange> changes = new ArrayList<>();
         long upTo = request.afterVersion();
@@ -77,30 +78,31 @@
         if (subtree.value().length == 0) {
             return new SubtreeChange(subtree.team(), subtree.version(), 0, Subtree.NO_VALUE);
         }
-        Optional<SubtreeKey> base = request.whole() ? Optional.empty() : findBase(subtree, request.appliedVersion());
+        Optional<SubtreeKey> base =
+                request.withoutBase() ? Optional.empty() : findBase(subtree, request.appliedVersion());
         long baseVersion = base.map(SubtreeKey::version).orElse(0L);
-        byte[] baseValue = base.map(older::get).orElse(Subtree.NO_VALUE);
+        byte[] baseValue = base.map(olderValues::get).orElse(Subtree.NO_VALUE);
         return new SubtreeChange(
                 subtree.team(), subtree.version(), baseVersion, encodeCached(subtree, baseVersion, baseValue));
     }
 
     private byte[] encodeCached(Subtree subtree, long baseVersion, byte[] base) {
         EncodedKey key = new EncodedKey(new SubtreeKey(subtree.team(), subtree.version()), baseVersion);
-        byte[] known = encoded.get(key);
+        byte[] known = encodedValues.get(key);
         if (known != null) {
             return known;
         }
         byte[] result = SubtreeDelta.encode(base, subtree.value());
-        encoded.put(key, result);
-        if (encoded.size() > MAX_ENCODED) {
-            encoded.remove(encoded.keySet().iterator().next());
+        encodedValues.put(key, result);
+        if (encodedValues.size() > MAX_CACHED_ENCODINGS) {
+            encodedValues.remove(encodedValues.keySet().iterator().next());
         }
         return result;
     }
 
-    /** The newest older value that a VM with a version may have; the VM checks whether it does. */
+    /** Finds the newest older value that a VM at the given version may have; the VM verifies it when decoding. */
     private Optional<SubtreeKey> findBase(Subtree subtree, long appliedVersion) {
-        return older.keySet().stream()
+        return olderValues.keySet().stream()
                 .filter(k -> k.team().equals(subtree.team()) && k.version() <= appliedVersion)
                 .max((a, b) -> Long.compare(a.version(), b.version()));
     }
@@ -118,17 +120,17 @@
         if (subtree.value().length == 0 || subtree.value().length > maxOlderBytes) {
             return;
         }
-        older.put(new SubtreeKey(subtree.team(), subtree.version()), subtree.value());
+        olderValues.put(new SubtreeKey(subtree.team(), subtree.version()), subtree.value());
         olderBytes += subtree.value().length;
         while (olderBytes > maxOlderBytes) {
-            SubtreeKey eldest = older.keySet().iterator().next();
-            olderBytes -= older.remove(eldest).length;
+            SubtreeKey eldest = olderValues.keySet().iterator().next();
+            olderBytes -= olderValues.remove(eldest).length;
         }
     }
 
     /** One version of a team's subtree. */
     private record SubtreeKey(TeamId team, long version) {}
 
-    /** A version of a subtree encoded against another. */
+    /** A version of a subtree that is encoded against a base version. */
     private record EncodedKey(SubtreeKey subtree, long baseVersion) {}
 }
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/CellReporterTests.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/CellReporterTests.java
@@ -21,8 +21,8 @@
 class CellReporterTests {
 
     private final List<Action> actions = new ArrayList<>();
-    private final AtomicLong numbers = new AtomicLong();
-    private final CellReporter reporter = new CellReporter(vm("a"), numbers::incrementAndGet);
+    private final AtomicLong callNumbers = new AtomicLong();
+    private final CellReporter reporter = new CellReporter(vm("a"), callNumbers::incrementAndGet);
 
     @Test
     void reportsTheLowestVersionOfTheCellAndWhoLags() {
@@ -72,12 +72,12 @@
     }
 
     private void answer(Either<PlatformFailure, StoredObject> result, long nowMillis) {
-        reporter.handleAnswer(numbers.get(), result, nowMillis);
+        reporter.handleAnswer(callNumbers.get(), result, nowMillis);
     }
 
-    private void tick(boolean first, long nowMillis) {
+    private void tick(boolean isFirstRelay, long nowMillis) {
         actions.clear();
-        reporter.tick(first, 7, List.of(vm("b"), vm("c")), nowMillis, actions::add);
+        reporter.tick(isFirstRelay, 7, List.of(vm("b"), vm("c")), nowMillis, actions::add);
     }
 
     private Action.UpdateObject update() {
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/ConfigurationCluster.java
@@ -24,7 +24,7 @@
 import org.hyssopswitch.core.identity.VmId;
 import org.hyssopswitch.core.message.PeerMessage;
 
-/** A few systems, a platform and a link between each pair that a test delays, drops from and cuts; virtual time. */
+/** Several VMs, a platform and links with injected delay, message loss and partitions, in virtual time. */
 final class ConfigurationCluster {
 
     static final long STEP_MILLIS = 50;
@@ -32,10 +32,10 @@
 
     private final FakeConfigurationPlatform platform = new FakeConfigurationPlatform();
     private final Map<Integer, Node> nodes = new TreeMap<>();
-    private final List<InFlight> messages = new ArrayList<>();
-    private final List<Answer> answers = new ArrayList<>();
-    private final List<Watch> watches = new ArrayList<>();
-    private final Set<Integer> cutOff = new HashSet<>();
+    private final List<InFlightMessage> messages = new ArrayList<>();
+    private final List<PendingAnswer> answers = new ArrayList<>();
+    private final List<OpenWatch> watches = new ArrayList<>();
+    private final Set<Integer> isolated = new HashSet<>();
     private final Set<Integer> cutFromPlatform = new HashSet<>();
     private final ConfigurationSettings settings;
     private final SplittableRandom random;
@@ -79,7 +79,7 @@
     }
 
     void isolate(int index) {
-        cutOff.add(index);
+        isolated.add(index);
         updateViews();
     }
 
@@ -88,7 +88,7 @@
     }
 
     void heal() {
-        cutOff.clear();
+        isolated.clear();
         cutFromPlatform.clear();
         setLinkFaults(0, 0);
         platform.setAvailable(true);
@@ -100,7 +100,7 @@
         updateViews();
     }
 
-    /** Starts a VM, or starts it again with a new incarnation and without any memory. */
+    /** Starts a VM, or restarts it with a new incarnation and without any state. */
     void start(int index) {
         incarnations++;
         VmAddress self = new VmAddress(
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Runs until all VMs have the platform's version, and returns the time it took. */
+    /** Runs until all VMs have the platform's version in force; returns the elapsed time in milliseconds. */
     long runUntilConverged(long limitMillis) {
         long begin = nowMillis;
         while (!isConverged()) {
@@ -140,28 +140,28 @@
 
     private void step() {
         nowMillis += STEP_MILLIS;
-        List<InFlight> due =
+        List<InFlightMessage> due =
                 messages.stream().filter(m -> m.dueMillis <= nowMillis).toList();
         messages.removeAll(due);
         due.forEach(this::deliver);
-        List<Watch> answered = watches.stream().filter(this::isAnswered).toList();
+        List<OpenWatch> answered = watches.stream().filter(this::isAnswered).toList();
         watches.removeAll(answered);
         answered.forEach(this::answer);
-        List<Answer> ended = List.copyOf(answers);
+        List<PendingAnswer> ended = List.copyOf(answers);
         answers.clear();
         nodes.values()
                 .forEach(n -> ended.stream().filter(a -> a.to.equals(n.self)).forEach(a -> n.handle(a.event)));
         nodes.values().forEach(Node::tick);
     }
 
-    private boolean isAnswered(Watch watch) {
+    private boolean isAnswered(OpenWatch watch) {
         return !platform.isAvailable()
                 || cutFromPlatform.contains(watch.index)
                 || platform.hasChangesAfter(watch.after)
                 || nowMillis - watch.sentMillis >= WATCH_MILLIS;
     }
 
-    private void answer(Watch watch) {
+    private void answer(OpenWatch watch) {
         Node node = nodes.get(watch.index);
         if (node == null || !node.self.equals(watch.from)) {
             return;
@@ -170,15 +170,15 @@
                 ? Either.<PlatformFailure, org.hyssopswitch.core.engine.PrefixChanges>left(
                         new PlatformFailure.NoAnswer("config/teams/", "cut off"))
                 : platform.readChanges(watch.after);
-        node.handle(new Event.PrefixWatchCompleted(watch.call, result));
+        node.handle(new Event.PrefixAnswered(watch.call, result));
     }
 
-    private void deliver(InFlight message) {
+    private void deliver(InFlightMessage message) {
         int to = message.to.port() - 1000;
         Node node = nodes.get(to);
         int from = message.from.port() - 1000;
         boolean reachable =
-                node != null && node.self.equals(message.to) && cutOff.contains(from) == cutOff.contains(to);
+                node != null && node.self.equals(message.to) && isolated.contains(from) == isolated.contains(to);
         if (reachable && random.nextInt(100) >= dropPercent) {
             node.handle(new Event.MessageReceived(message.from, message.message));
         } else if (nodes.containsKey(from) && !reachable) {
@@ -188,23 +188,23 @@
 
     private void updateViews() {
         for (Map.Entry<Integer, Node> entry : nodes.entrySet()) {
-            boolean side = cutOff.contains(entry.getKey());
+            boolean side = isolated.contains(entry.getKey());
             entry.getValue()
                     .view
                     .setLiveMembers(nodes.entrySet().stream()
-                            .filter(e -> cutOff.contains(e.getKey()) == side)
+                            .filter(e -> isolated.contains(e.getKey()) == side)
                             .map(e -> e.getValue().self)
                             .toList());
         }
     }
 
-    private record InFlight(long dueMillis, VmAddress from, VmAddress to, PeerMessage message) {}
+    private record InFlightMessage(long dueMillis, VmAddress from, VmAddress to, PeerMessage message) {}
 
-    private record Answer(VmAddress to, Event event) {}
+    private record PendingAnswer(VmAddress to, Event event) {}
 
-    private record Watch(int index, VmAddress from, long call, long after, long sentMillis) {}
+    private record OpenWatch(int index, VmAddress from, long call, long after, long sentMillis) {}
 
-    /** One VM. */
+    /** A simulated VM. */
     private final class Node {
 
         private final VmAddress self;
@@ -215,9 +215,9 @@
         Node(VmAddress self) {
             this.self = self;
             this.view = new FakeMembershipView(self);
-            AtomicLong numbers = new AtomicLong();
+            AtomicLong callNumbers = new AtomicLong();
             this.system = new ConfigurationSystem(
-                    view, ConfigurationCluster::decode, settings, numbers::incrementAndGet, random.split());
+                    view, ConfigurationCluster::decode, settings, callNumbers::incrementAndGet, random.split());
             this.engine = new DecisionEngine(List.of(system));
         }
 
@@ -234,27 +234,27 @@
                 if (action instanceof Action.SendMessage send) {
                     sentMessages++;
                     long delay = STEP_MILLIS + random.nextLong(maxDelayMillis + 1);
-                    messages.add(new InFlight(nowMillis + delay, self, send.to(), send.message()));
+                    messages.add(new InFlightMessage(nowMillis + delay, self, send.to(), send.message()));
                 } else if (action instanceof Action.WatchPrefix watch) {
                     platform.recordCall();
-                    watches.add(new Watch(self.port() - 1000, self, watch.call(), watch.afterVersion(), nowMillis));
+                    watches.add(new OpenWatch(self.port() - 1000, self, watch.call(), watch.afterVersion(), nowMillis));
                 } else if (action instanceof Action.ReadObject read) {
-                    answers.add(
-                            new Answer(self, new Event.ObjectCallCompleted(read.call(), platform.readReport(read.path()))));
+                    answers.add(new PendingAnswer(
+                            self, new Event.ObjectAnswered(read.call(), platform.readReport(read.path()))));
                 } else if (action instanceof Action.UpdateObject update) {
-                    answers.add(new Answer(
+                    answers.add(new PendingAnswer(
                             self,
-                            new Event.ObjectCallCompleted(
+                            new Event.ObjectAnswered(
                                     update.call(),
                                     platform.updateReport(update.path(), update.expectedVersion(), update.value()))));
                 } else if (action instanceof Action.ApplyConfiguration apply) {
-                    check(apply.configuration());
+                    checkWhole(apply.configuration());
                 }
             }
         }
 
-        /** A version in force is whole: it has exactly the subtrees that the platform had at that version. */
-        private void check(Configuration configuration) {
+        /** Checks that a version in force is complete: it has exactly the subtrees of the platform at that version. */
+        private void checkWhole(Configuration configuration) {
             assertEquals(configuration, engine.configuration(), "a version must never revert");
             Map<String, Long> teams = new HashMap<>();
             configuration.teams().forEach((t, c) -> teams.put(t.value(), c.version()));
@@ -262,7 +262,7 @@
         }
     }
 
-    /** Values that begin with "invalid" cannot be read. */
+    /** Fails for values that begin with "invalid". */
     static Either<? extends Failure, TeamConfiguration> decode(
             org.hyssopswitch.core.identity.TeamId team, long version, byte[] value) {
         String text = new String(value, java.nio.charset.StandardCharsets.UTF_8);
--- a/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeConfigurationPlatform.java
+++ b/hyssopswitch-core/src/test/java/org/hyssopswitch/core/configuration/FakeConfigurationPlatform.java
@@ -11,13 +11,13 @@
 import org.hyssopswitch.core.engine.PrefixChanges;
 import org.hyssopswitch.core.engine.StoredObject;
 
-/** The objects below {@code config/teams/}, with all versions that were ever accepted. */
+/** Platform with the objects below {@code config/teams/}, the history of their versions, and cell reports. */
 final class FakeConfigurationPlatform {
 
     private final TreeMap<Long, StoredObject> current = new TreeMap<>();
     private final TreeMap<Long, Map<String, Long>> history = new TreeMap<>();
     private final Map<String, StoredObject> reports = new HashMap<>();
-    private boolean up = true;
+    private boolean available = true;
     private long version;
     private int calls;
 
@@ -46,12 +46,12 @@
         return history.get(ofVersion);
     }
 
-    void setAvailable(boolean isUp) {
-        up = isUp;
+    void setAvailable(boolean newValue) {
+        available = newValue;
     }
 
     boolean isAvailable() {
-        return up;
+        return available;
     }
 
     int calls() {
@@ -66,15 +66,15 @@
         return !current.tailMap(after, false).isEmpty();
     }
 
-    /** Reads an object outside the prefix. */
+    /** Reads a cell report. */
     Either<PlatformFailure, StoredObject> readReport(String path) {
         calls++;
-        return up
+        return available
                 ? Either.right(reports.getOrDefault(path, new StoredObject(path, 0, new byte[0])))
                 : Either.left(new PlatformFailure.NoAnswer(path, "down"));
     }
 
-    /** Updates an object outside the prefix. */
+    /** Updates a cell report if it has the expected version. */
     Either<PlatformFailure, StoredObject> updateReport(String path, long expected, byte[] value) {
         Either<PlatformFailure, StoredObject> current = readReport(path);
         if (current.isLeft()) {
@@ -90,13 +90,13 @@
         return Either.right(updated);
     }
 
-    /** The text of an object outside the prefix. */
+    /** Returns the text of a cell report. */
     String reportText(String path) {
         return new String(reports.get(path).value(), StandardCharsets.UTF_8);
     }
 
     Either<PlatformFailure, PrefixChanges> readChanges(long after) {
-        if (!up) {
+        if (!available) {
             return Either.left(new PlatformFailure.NoAnswer("config/teams/", "down"));
         }
         List<StoredObject> changed =
