--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/configuration/ConfigurationSystem.java
@@ -126,11 +126,11 @@
 
     @Override
     public void handle(Event event, long nowMillis, Outbox out) {
-        if (event instanceof Event.PrefixAnswered answered && watch.closeCall(answered.call())) {
+        if (event instanceof Event.PrefixWatchCompleted answered && watch.closeCall(answered.call())) {
             answered.result()
                     .peek(changes -> handleChanges(changes, nowMillis, out))
                     .peekLeft(failure -> watch.recordFailure(failure, nowMillis));
-        } else if (event instanceof Event.ObjectAnswered answered) {
+        } else if (event instanceof Event.ObjectCallCompleted answered) {
             reporter.handleAnswer(answered.call(), answered.result(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             handleMessage(received.from(), received.message(), nowMillis, out);
--- a/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
+++ b/hyssopswitch-core/src/main/java/org/hyssopswitch/core/failover/ControlCall.java
@@ -22,7 +22,8 @@
     /** Creates the message that carries a request. */
     static ControlCall of(long id, EndpointId endpoint, ControlRequest request, long timeoutMillis) {
         if (request instanceof ControlRequest.Fence fence) {
-            return new ControlCall(id, endpoint, ControlKind.FENCE, fence.term(), 0, fence.coordinator(), timeoutMillis);
+            return new ControlCall(
+                    id, endpoint, ControlKind.FENCE, fence.term(), 0, fence.coordinator(), timeoutMillis);
         }
         if (request instanceof ControlRequest.Promote promote) {
             String coordinator = promote.coordinator();
