--- a/hyssopswitch-app/src/main/java/org/hyssopswitch/app/baseline/RoundRobinSelector.java
+++ b/hyssopswitch-app/src/main/java/org/hyssopswitch/app/baseline/RoundRobinSelector.java
@@ -33,7 +33,8 @@
 
     @Override
     public Selection select(SelectionRequest request, long nowMillis) {
-        Optional<DatabaseDeclaration> database = endpoints.recordUse(request.route().database(), nowMillis);
+        Optional<DatabaseDeclaration> database =
+                endpoints.recordUse(request.route().database(), nowMillis);
         Optional<EndpointId> choice =
                 database.flatMap(d -> request.route().read() ? nextEndpoint(d, request) : primary(d, request));
         if (choice.isPresent()) {
--- a/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetPlatform.java
+++ b/hyssopswitch-bench/src/main/java/org/hyssopswitch/bench/fleet/FleetPlatform.java
@@ -73,7 +73,8 @@
             return Optional.empty();
         }
         changed.sort((a, b) -> Long.compare(a.version(), b.version()));
-        return Optional.of(new Event.PrefixWatchCompleted(watch.call(), Either.right(new PrefixChanges(version, changed))));
+        return Optional.of(
+                new Event.PrefixWatchCompleted(watch.call(), Either.right(new PrefixChanges(version, changed))));
     }
 
     private Either<PlatformFailure, StoredObject> update(Action.UpdateObject update) {
--- a/hyssopswitch-proxy/src/test/java/org/hyssopswitch/proxy/vm/TestFleet.java
+++ b/hyssopswitch-proxy/src/test/java/org/hyssopswitch/proxy/vm/TestFleet.java
@@ -211,7 +211,8 @@
         ControlRouter router = new ControlRouter(self, resolver, table, new CallIdSequence());
         MajorityCommitConfirmer confirmer = new MajorityCommitConfirmer(router, table);
         EvenSplitRateLimiter limiter = new EvenSplitRateLimiter(parts);
-        SessionFloorSystem floors = new SessionFloorSystem(self, resolver, table, router, confirmer, new CallIdSequence());
+        SessionFloorSystem floors =
+                new SessionFloorSystem(self, resolver, table, router, confirmer, new CallIdSequence());
         DecisionEngine engine = new DecisionEngine(List.of(
                 new TestSystems.GivenConfiguration(configuration::get),
                 new TestSystems.KnownStatuses(group, table),
